--- a/src/scheduler/Cluster.cpp
+++ b/src/scheduler/Cluster.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-std::int64_t quotient(std::int64_t Have, std::int64_t Each) {
-  if (Each <= 0)
+std::int64_t quotient(std::int64_t Available, std::int64_t PerTask) {
+  if (PerTask <= 0)
     return std::numeric_limits<std::int32_t>::max();
-  return Have <= 0 ? 0 : Have / Each;
+  return Available <= 0 ? 0 : Available / PerTask;
 }
 
 Capacity capacityOf(const WorkerInfo &Info) {
@@ -29,8 +29,8 @@
           Info.MemoryMbPerTask, Info.Near};
 }
 
-std::uint32_t Capacity::tasks(const Demand &Need) const {
-  if (!covered())
+std::uint32_t Capacity::tasksThatFit(const Demand &Need) const {
+  if (!isNonNegative())
     return 0;
   const std::int64_t Fitting = std::min(
       {quotient(Accelerators, Need.Accelerators), quotient(Cores, Need.Cores),
@@ -39,11 +39,12 @@
       std::min<std::int64_t>(Fitting, Need.Tasks));
 }
 
-WorkerIndex Cluster::slotFor(const NodeId &Id) {
+WorkerIndex Cluster::indexFor(const NodeId &Id) {
   const auto Known = ById.find(Id);
   if (Known != ById.end())
     return Known->second;
-  // A replaced worker comes back under another name; its slot is used again.
+  // A replacement worker has a new name; reuse the entry of an absent worker
+  // without gangs.
   for (WorkerIndex I = 0; I < Workers.size(); ++I) {
     if (Workers[I].Present || Workers[I].Gangs != 0)
       continue;
@@ -58,24 +59,24 @@
   return Index;
 }
 
-WorkerIndex Cluster::see(const WorkerInfo &Info) {
-  const WorkerIndex Index = slotFor(Info.Id);
-  Worker &Seen = Workers[Index];
-  const bool Moved = !Seen.Present || !sameLocation(Seen.Info, Info);
-  const Capacity Before = capacityOf(Seen.Info);
+WorkerIndex Cluster::addOrUpdate(const WorkerInfo &Info) {
+  const WorkerIndex Index = indexFor(Info.Id);
+  Worker &Updated = Workers[Index];
+  const bool Moved = !Updated.Present || !sameLocation(Updated.Info, Info);
+  const Capacity Before = capacityOf(Updated.Info);
   const Capacity After = capacityOf(Info);
-  Seen.Free.Accelerators += After.Accelerators - Before.Accelerators;
-  Seen.Free.Cores += After.Cores - Before.Cores;
-  Seen.Free.MemoryMb += After.MemoryMb - Before.MemoryMb;
-  Seen.Info = Info;
-  Seen.Present = true;
+  Updated.Free.Accelerators += After.Accelerators - Before.Accelerators;
+  Updated.Free.Cores += After.Cores - Before.Cores;
+  Updated.Free.MemoryMb += After.MemoryMb - Before.MemoryMb;
+  Updated.Info = Info;
+  Updated.Present = true;
   Largest = std::max(Largest, Info.Accelerators);
   if (Moved)
     rebuildGroups();
   return Index;
 }
 
-void Cluster::lose(WorkerIndex Index) {
+void Cluster::markLost(WorkerIndex Index) {
   Workers[Index].Present = false;
   rebuildGroups();
 }
@@ -92,32 +93,33 @@
   return true;
 }
 
-void Cluster::take(const std::vector<Member> &Members, const Demand &Need) {
+void Cluster::allocate(const std::vector<Member> &Members, const Demand &Need) {
   for (const Member &Each : Members) {
     Workers[Each.Worker].Free.add(Need, -std::int64_t(Each.Tasks));
     ++Workers[Each.Worker].Gangs;
   }
 }
 
-void Cluster::give(const std::vector<Member> &Members, const Demand &Need) {
+void Cluster::deallocate(const std::vector<Member> &Members,
+                         const Demand &Need) {
   for (const Member &Each : Members) {
     Workers[Each.Worker].Free.add(Need, Each.Tasks);
     --Workers[Each.Worker].Gangs;
   }
 }
 
-void Cluster::setLeaving(const std::vector<Member> &Members, const Demand &Need,
-                         bool Leaving) {
+void Cluster::setBeingFreed(const std::vector<Member> &Members,
+                            const Demand &Need, bool BeingFreed) {
   for (const Member &Each : Members) {
     const std::int64_t Tasks = Each.Tasks;
-    Workers[Each.Worker].Leaving.add(Need, Leaving ? Tasks : -Tasks);
+    Workers[Each.Worker].BeingFreed.add(Need, BeingFreed ? Tasks : -Tasks);
   }
 }
 
-const std::vector<Group> &Cluster::Levels::at(Adjacency Near) const {
+const std::vector<Group> &Cluster::AdjacencyGroups::at(Adjacency Near) const {
   switch (Near) {
   case Adjacency::SameWorker:
-    return Singles;
+    return SingleWorkers;
   case Adjacency::SameRack:
     return Racks;
   case Adjacency::SameDataCentre:
@@ -125,19 +127,19 @@
   case Adjacency::Any:
     break;
   }
-  return Everything;
+  return AllWorkers;
 }
 
 const std::vector<Group> &Cluster::groups(Adjacency Near) const {
-  return Present.at(Near);
+  return PresentGroups.at(Near);
 }
 
 const std::vector<Group> &Cluster::knownGroups(Adjacency Near) const {
-  return Known.at(Near);
+  return KnownGroups.at(Near);
 }
 
-std::uint32_t Cluster::tasksWhenEmpty(const Worker &Which, const Demand &Need) {
-  return capacityOf(Which.Info).tasks(Need);
+std::uint32_t Cluster::tasksWhenEmpty(const Worker &W, const Demand &Need) {
+  return capacityOf(W.Info).tasksThatFit(Need);
 }
 
 std::uint64_t Cluster::totalAccelerators() const {
@@ -156,47 +158,47 @@
 }
 
 void Cluster::rebuildGroups() {
-  Present = group(false);
-  Known = group(true);
+  PresentGroups = buildGroups(false);
+  KnownGroups = buildGroups(true);
   Largest = 0;
   for (const Worker &Each : Workers)
     if (Each.Present)
       Largest = std::max(Largest, Each.Info.Accelerators);
   RackOf.assign(Workers.size(), 0);
-  for (std::size_t Rack = 0; Rack < Present.Racks.size(); ++Rack)
-    for (WorkerIndex I : Present.Racks[Rack])
+  for (std::size_t Rack = 0; Rack < PresentGroups.Racks.size(); ++Rack)
+    for (WorkerIndex I : PresentGroups.Racks[Rack])
       RackOf[I] = Rack;
 }
 
 std::int64_t Cluster::freeInRack(WorkerIndex Index) const {
   std::int64_t Free = 0;
-  for (WorkerIndex I : Present.Racks[RackOf[Index]])
+  for (WorkerIndex I : PresentGroups.Racks[RackOf[Index]])
     if (Workers[I].usable())
       Free += std::max<std::int64_t>(0, Workers[I].Free.Accelerators);
   return Free;
 }
 
-Cluster::Levels Cluster::group(bool WithAbsent) const {
+Cluster::AdjacencyGroups Cluster::buildGroups(bool IncludeAbsent) const {
   std::map<std::string, Group> ByRack;
   std::map<std::string, Group> ByDataCentre;
-  Levels Result;
-  Result.Everything.assign(1, Group());
+  AdjacencyGroups Result;
+  Result.AllWorkers.assign(1, Group());
   for (WorkerIndex I = 0; I < Workers.size(); ++I) {
     const Worker &Each = Workers[I];
-    if (!Each.Present && !WithAbsent)
+    if (!Each.Present && !IncludeAbsent)
       continue;
     const std::string DataCentre =
         Each.Info.Place.str() + "/" + Each.Info.DataCentre.str();
     ByRack[DataCentre + "/" + Each.Info.Rack.str()].push_back(I);
     ByDataCentre[DataCentre].push_back(I);
-    Result.Singles.push_back({I});
-    Result.Everything[0].push_back(I);
+    Result.SingleWorkers.push_back({I});
+    Result.AllWorkers[0].push_back(I);
   }
   const auto Values = [](std::map<std::string, Group> &From) {
     std::vector<Group> Groups;
     Groups.reserve(From.size());
-    for (auto &[Name, Together] : From)
-      Groups.push_back(std::move(Together));
+    for (auto &[Name, InGroup] : From)
+      Groups.push_back(std::move(InGroup));
     return Groups;
   };
   Result.Racks = Values(ByRack);
--- a/src/scheduler/Cluster.h
+++ b/src/scheduler/Cluster.h
@@ -1,6 +1,3 @@
-/// \file
-/// The workers of a cell, what is free on them and how they lie together.
-
 #ifndef BAOBABCOVE_SCHEDULER_CLUSTER_H
 #define BAOBABCOVE_SCHEDULER_CLUSTER_H
 
@@ -13,10 +10,10 @@
 
 namespace baobabcove {
 
-/// Position of a worker in the cluster's table.
+/// Index of a worker in the Cluster.
 using WorkerIndex = std::uint32_t;
 
-/// What one task of a gang needs, and how many tasks there are.
+/// Resources that each task of a gang needs, and the number of tasks.
 struct Demand {
   std::uint32_t Tasks = 1;
   std::uint32_t Accelerators = 1;
@@ -29,11 +26,11 @@
   }
 };
 
-/// The demand of a submitted job.
+/// Returns the resource demand of a submitted job.
 Demand demandOf(const JobInfo &Info);
 
-/// Free capacity. Negative values are promised to a gang that waits for the
-/// present holders to stop.
+/// Free resources of a worker. A negative value is reserved for a gang that
+/// starts after the present ones have stopped.
 struct Capacity {
   std::int64_t Accelerators = 0;
   std::int64_t Cores = 0;
@@ -44,104 +41,109 @@
     Cores += Tasks * Need.Cores;
     MemoryMb += Tasks * static_cast<std::int64_t>(Need.MemoryMb);
   }
-  bool covered() const {
+  /// Returns false when more than the free amount of a resource is reserved.
+  bool isNonNegative() const {
     return Accelerators >= 0 && Cores >= 0 && MemoryMb >= 0;
   }
-  /// Tasks of \p Need that fit.
-  std::uint32_t tasks(const Demand &Need) const;
+  /// Returns how many tasks of \p Need fit, at most Need.Tasks.
+  std::uint32_t tasksThatFit(const Demand &Need) const;
 };
 
-/// A gang's tasks on one worker.
+/// Number of a gang's tasks on one worker.
 struct Member {
   WorkerIndex Worker = 0;
   std::uint32_t Tasks = 0;
 };
 
+/// A worker and its free resources.
 struct Worker {
   WorkerInfo Info;
   Capacity Free;
-  /// Held by gangs that are being stopped; free soon.
-  Capacity Leaving;
+  /// Resources of gangs that are being stopped.
+  Capacity BeingFreed;
   bool Present = false;
   bool Quarantined = false;
-  /// Gangs with tasks here, whether running, starting or stopping.
+  /// Gangs assigned to this worker: reserved, starting, running or stopping.
   std::uint32_t Gangs = 0;
 
-  /// Whether new gangs may be placed here.
+  /// Returns whether new gangs may be placed on this worker.
   bool usable() const { return Present && !Quarantined && !Info.Draining; }
 
-  /// What is free once the stopping gangs have gone.
-  Capacity soonFree() const {
-    return {Free.Accelerators + Leaving.Accelerators,
-            Free.Cores + Leaving.Cores, Free.MemoryMb + Leaving.MemoryMb};
+  /// Returns the free resources after all stopping gangs have ended.
+  Capacity freeAfterStops() const {
+    return {Free.Accelerators + BeingFreed.Accelerators,
+            Free.Cores + BeingFreed.Cores, Free.MemoryMb + BeingFreed.MemoryMb};
   }
 };
 
-/// Workers that lie together at one level of adjacency.
+/// Workers that satisfy one level of adjacency together, such as a rack.
 using Group = std::vector<WorkerIndex>;
 
-/// The table of workers.
+/// Tracks the workers of a cell, their free resources and their topology.
 class Cluster {
 public:
-  /// Adds or updates a worker; returns its position.
-  WorkerIndex see(const WorkerInfo &Info);
-  void lose(WorkerIndex Index);
+  /// Adds a worker or updates its facts; returns its index.
+  WorkerIndex addOrUpdate(const WorkerInfo &Info);
+  void markLost(WorkerIndex Index);
   void setQuarantined(WorkerIndex Index, bool Quarantined);
 
-  /// The position of a worker; false when it was never seen.
+  /// Looks up the index of a worker; returns false when it is unknown.
   bool find(const NodeId &Id, WorkerIndex &Index) const;
 
-  void take(const std::vector<Member> &Members, const Demand &Need);
-  void give(const std::vector<Member> &Members, const Demand &Need);
-  /// Counts a gang among those that are being stopped, or no longer.
-  void setLeaving(const std::vector<Member> &Members, const Demand &Need,
-                  bool Leaving);
+  /// Subtracts a gang's demand from its workers' free resources.
+  void allocate(const std::vector<Member> &Members, const Demand &Need);
+  /// Returns a gang's resources to its workers.
+  void deallocate(const std::vector<Member> &Members, const Demand &Need);
+  /// Adds a gang's resources to those being freed, or removes them.
+  void setBeingFreed(const std::vector<Member> &Members, const Demand &Need,
+                     bool BeingFreed);
 
   const std::vector<Worker> &workers() const { return Workers; }
   const Worker &worker(WorkerIndex Index) const { return Workers[Index]; }
 
-  /// The groups within which a gang of adjacency \p Near must stay.
+  /// Returns the groups of present workers; a gang of adjacency \p Near must
+  /// stay within one of them.
   const std::vector<Group> &groups(Adjacency Near) const;
-  /// The same, with the workers that are lost but may return.
+  /// Returns the same groups including lost workers, which may return.
   const std::vector<Group> &knownGroups(Adjacency Near) const;
 
-  /// Tasks of \p Need that a worker holds when it is empty.
-  /// The present workers of a worker's rack.
+  /// Returns the present workers in the rack of a worker.
   const Group &rackOf(WorkerIndex Index) const {
-    return Present.Racks[RackOf[Index]];
+    return PresentGroups.Racks[RackOf[Index]];
   }
-  /// Free accelerators on the usable workers of a worker's rack.
+  /// Returns the free accelerators on usable workers in the rack of a worker.
   std::int64_t freeInRack(WorkerIndex Index) const;
 
-  static std::uint32_t tasksWhenEmpty(const Worker &Which, const Demand &Need);
+  /// Returns how many tasks of \p Need fit on the worker when it is empty.
+  static std::uint32_t tasksWhenEmpty(const Worker &W, const Demand &Need);
 
-  /// Accelerators of the largest present worker; zero when there is none.
+  /// Returns the accelerators of the largest present worker, or zero.
   std::uint32_t largestWorker() const { return Largest; }
 
   std::uint64_t totalAccelerators() const;
   std::uint64_t freeAccelerators() const;
 
 private:
-  /// Groups of every level of adjacency.
-  struct Levels {
-    std::vector<Group> Singles;
+  /// The groups at every level of adjacency.
+  struct AdjacencyGroups {
+    std::vector<Group> SingleWorkers;
     std::vector<Group> Racks;
     std::vector<Group> DataCentres;
-    std::vector<Group> Everything;
+    std::vector<Group> AllWorkers;
 
     const std::vector<Group> &at(Adjacency Near) const;
   };
 
   void rebuildGroups();
-  Levels group(bool WithAbsent) const;
-  WorkerIndex slotFor(const NodeId &Id);
+  AdjacencyGroups buildGroups(bool IncludeAbsent) const;
+  WorkerIndex indexFor(const NodeId &Id);
 
   std::vector<Worker> Workers;
   std::unordered_map<NodeId, WorkerIndex> ById;
-  /// Position of each worker's rack among the present racks.
+  /// Index of each worker's rack in PresentGroups.Racks.
   std::vector<std::size_t> RackOf;
-  Levels Present;
-  Levels Known;
+  AdjacencyGroups PresentGroups;
+  AdjacencyGroups KnownGroups;
   std::uint32_t Largest = 0;
 };
 
--- a/src/scheduler/GuaranteePacking.cpp
+++ b/src/scheduler/GuaranteePacking.cpp
@@ -6,8 +6,10 @@
 
 namespace {
 
+/// Accelerators of a worker, assumed while no worker is present.
 constexpr std::uint32_t DefaultWorkerSize = 8;
-/// More than the accelerators of any rack.
+/// Exceeds the accelerators of any rack, so that the worker's own remainder
+/// outweighs that of its rack.
 constexpr std::uint64_t RackScale = 1 << 20;
 
 } // namespace
@@ -17,25 +19,25 @@
   return Size == 0 ? DefaultWorkerSize : Size;
 }
 
-std::uint32_t Guarantees::partSize(const Cell &Which) const {
-  return std::min(Which.Size, workerSize());
+std::uint32_t Guarantees::partSize(const Cell &C) const {
+  return std::min(C.Size, workerSize());
 }
 
-std::uint32_t Guarantees::parts(const Cell &Which) const {
-  const std::uint32_t Part = partSize(Which);
-  return (Which.Size + Part - 1) / Part;
+std::uint32_t Guarantees::parts(const Cell &C) const {
+  const std::uint32_t Part = partSize(C);
+  return (C.Size + Part - 1) / Part;
 }
 
-Guarantees::Room Guarantees::emptyRoom() const {
-  Room Free(Workers.workers().size());
+Guarantees::FreeAccelerators Guarantees::acceleratorsWhenEmpty() const {
+  FreeAccelerators Free(Workers.workers().size());
   for (WorkerIndex I = 0; I < Free.size(); ++I)
     if (Workers.worker(I).usable())
       Free[I] = Workers.worker(I).Info.Accelerators;
   return Free;
 }
 
-Guarantees::Room Guarantees::unboundRoom() const {
-  Room Free = emptyRoom();
+Guarantees::FreeAccelerators Guarantees::unboundAccelerators() const {
+  FreeAccelerators Free = acceleratorsWhenEmpty();
   for (CellIndex Index : Order) {
     const Cell &Each = Cells[Index];
     const std::uint32_t Part = Each.BoundTo.empty() ? 0 : partSize(Each);
@@ -45,7 +47,8 @@
   return Free;
 }
 
-std::vector<std::uint32_t> Guarantees::levels(const Room &Free) {
+std::vector<std::uint32_t>
+Guarantees::workersByFree(const FreeAccelerators &Free) {
   std::vector<std::uint32_t> Count;
   for (std::uint32_t Accelerators : Free) {
     if (Accelerators >= Count.size())
@@ -55,75 +58,76 @@
   return Count;
 }
 
-bool Guarantees::packWide(Room &Free, const Cell &Which) const {
-  const std::uint32_t Part = partSize(Which);
-  const std::uint32_t Wanted = parts(Which);
+bool Guarantees::packWide(FreeAccelerators &Free, const Cell &C) const {
+  const std::uint32_t Part = partSize(C);
+  const std::uint32_t PartCount = parts(C);
   const Group *Best = nullptr;
-  std::size_t BestWhole = 0;
-  for (const Group &Candidate : Workers.groups(Which.Near)) {
-    std::size_t Whole = 0;
+  std::size_t FewestFreeWorkers = 0;
+  for (const Group &Candidate : Workers.groups(C.Near)) {
+    std::size_t FreeWorkers = 0;
     for (WorkerIndex I : Candidate)
-      Whole += Free[I] >= Part ? 1 : 0;
-    if (Whole >= Wanted && (!Best || Whole < BestWhole)) {
+      FreeWorkers += Free[I] >= Part ? 1 : 0;
+    if (FreeWorkers >= PartCount &&
+        (!Best || FreeWorkers < FewestFreeWorkers)) {
       Best = &Candidate;
-      BestWhole = Whole;
+      FewestFreeWorkers = FreeWorkers;
     }
   }
   if (!Best)
     return false;
-  std::uint32_t Left = Wanted;
+  std::uint32_t Remaining = PartCount;
   for (WorkerIndex I : *Best) {
-    if (Left == 0 || Free[I] < Part)
+    if (Remaining == 0 || Free[I] < Part)
       continue;
     Free[I] -= Part;
-    --Left;
+    --Remaining;
   }
   return true;
 }
 
 std::vector<const Guarantees::Cell *>
 Guarantees::unboundCells(const std::vector<CellIndex> &Skipped) const {
-  std::vector<const Cell *> Pieces;
+  std::vector<const Cell *> Unbound;
   for (CellIndex Index : Order) {
     const Cell &Each = Cells[Index];
-    if (Each.BoundTo.empty() && !Each.Suspended && !contains(Skipped, Index))
-      Pieces.push_back(&Each);
+    if (Each.BoundTo.empty() && !Each.Unpackable && !contains(Skipped, Index))
+      Unbound.push_back(&Each);
   }
-  return Pieces;
+  return Unbound;
 }
 
-/// Packs pieces, largest first. For sizes that are powers of two within equal
-/// workers, best fit in falling order finds a packing whenever there is one.
-bool Guarantees::packAll(Room Free,
-                         const std::vector<const Cell *> &Pieces) const {
-  const std::uint32_t Whole = workerSize();
+/// Packs cells, largest first. For sizes that are powers of two and workers of
+/// equal size, best-fit decreasing finds a packing whenever one exists.
+bool Guarantees::packAll(FreeAccelerators Free,
+                         const std::vector<const Cell *> &ToPack) const {
+  const std::uint32_t PerWorker = workerSize();
   std::size_t I = 0;
-  for (; I < Pieces.size() && Pieces[I]->Size > Whole; ++I)
-    if (!packWide(Free, *Pieces[I]))
+  for (; I < ToPack.size() && ToPack[I]->Size > PerWorker; ++I)
+    if (!packWide(Free, *ToPack[I]))
       return false;
-  std::vector<std::uint32_t> Count = levels(Free);
-  for (; I < Pieces.size(); ++I) {
-    const std::uint32_t Size = Pieces[I]->Size;
-    std::size_t Level = Size;
-    while (Level < Count.size() && Count[Level] == 0)
-      ++Level;
-    if (Level >= Count.size())
+  std::vector<std::uint32_t> Count = workersByFree(Free);
+  for (; I < ToPack.size(); ++I) {
+    const std::uint32_t Size = ToPack[I]->Size;
+    std::size_t Available = Size;
+    while (Available < Count.size() && Count[Available] == 0)
+      ++Available;
+    if (Available >= Count.size())
       return false;
-    --Count[Level];
-    ++Count[Level - Size];
+    --Count[Available];
+    ++Count[Available - Size];
   }
   return true;
 }
 
 void Guarantees::workersChanged() {
-  Room Free = unboundRoom();
-  const std::uint32_t Whole = workerSize();
+  FreeAccelerators Free = unboundAccelerators();
+  const std::uint32_t PerWorker = workerSize();
   for (CellIndex Index : Order) {
     Cell &Each = Cells[Index];
     if (!Each.BoundTo.empty())
       continue;
-    if (Each.Size > Whole) {
-      Each.Suspended = !packWide(Free, Each);
+    if (Each.Size > PerWorker) {
+      Each.Unpackable = !packWide(Free, Each);
       continue;
     }
     WorkerIndex Best = 0;
@@ -134,7 +138,7 @@
       Best = I;
       Found = true;
     }
-    Each.Suspended = !Found;
+    Each.Unpackable = !Found;
     if (Found)
       Free[Best] -= Each.Size;
   }
@@ -142,26 +146,27 @@
 
 bool Guarantees::packableWhenEmpty(
     const std::vector<WorkspaceGuarantee> &Wanted) const {
-  std::vector<Cell> Pieces = cellsOf(Wanted);
+  std::vector<Cell> WantedCells = cellsOf(Wanted);
   std::stable_sort(
-      Pieces.begin(), Pieces.end(),
+      WantedCells.begin(), WantedCells.end(),
       [](const Cell &L, const Cell &R) { return L.Size > R.Size; });
-  std::vector<const Cell *> List;
-  List.reserve(Pieces.size());
-  for (const Cell &Each : Pieces)
-    List.push_back(&Each);
-  return packAll(emptyRoom(), List);
+  std::vector<const Cell *> ToPack;
+  ToPack.reserve(WantedCells.size());
+  for (const Cell &Each : WantedCells)
+    ToPack.push_back(&Each);
+  return packAll(acceleratorsWhenEmpty(), ToPack);
 }
 
 std::size_t Guarantees::unpackable() const {
   return static_cast<std::size_t>(
       std::count_if(Order.begin(), Order.end(),
-                    [&](CellIndex I) { return Cells[I].Suspended; }));
+                    [&](CellIndex I) { return Cells[I].Unpackable; }));
 }
 
-/// What a worker and then its rack would have left over; a nearly full worker
-/// in a nearly full rack keeps the larger pieces whole.
-std::uint64_t Guarantees::leftover(WorkerIndex Index, const Room &Free) const {
+/// Ranks a worker by its own free accelerators, then by those of its rack. Use
+/// of nearly full workers in nearly full racks leaves larger blocks elsewhere.
+std::uint64_t Guarantees::leftover(WorkerIndex Index,
+                                   const FreeAccelerators &Free) const {
   std::uint64_t InRack = 0;
   for (WorkerIndex I : Workers.rackOf(Index))
     InRack += Free[I];
--- a/src/scheduler/Guarantees.cpp
+++ b/src/scheduler/Guarantees.cpp
@@ -7,11 +7,13 @@
 
 namespace {
 
-/// Locations of one cell whose packing is tried before the choice is given up.
-constexpr std::size_t MaxLocations = 24;
-/// Locations of one cell that are looked at, and those without loss among them.
-constexpr std::size_t EnoughLocations = 256;
-constexpr std::size_t EnoughWithoutLoss = 8;
+/// Locations of a cell for which the packing of the other cells is tried before
+/// the choice fails.
+constexpr std::size_t MaxPackingAttempts = 24;
+/// Limits on the locations of a cell that are evaluated: in total, and among
+/// them those that evict nothing.
+constexpr std::size_t MaxEvaluatedLocations = 256;
+constexpr std::size_t MaxZeroCostLocations = 8;
 
 std::uint32_t nextPowerOfTwo(std::uint32_t Number) {
   std::uint32_t Power = 1;
@@ -20,8 +22,8 @@
   return Power;
 }
 
-/// How wide a gang of this adjacency may lie, narrow first.
-int width(Adjacency Near) {
+/// Orders adjacencies from the narrowest to the widest.
+int spreadRank(Adjacency Near) {
   switch (Near) {
   case Adjacency::SameWorker:
     return 0;
@@ -39,20 +41,21 @@
 
 std::vector<Guarantees::Cell>
 Guarantees::cellsOf(const std::vector<WorkspaceGuarantee> &Wanted) const {
-  const std::uint32_t Whole = workerSize();
+  const std::uint32_t PerWorker = workerSize();
   std::vector<Cell> Result;
   for (const WorkspaceGuarantee &Each : Wanted) {
     for (const GuaranteeShape &Shape : Each.Shapes) {
-      Cell Piece;
-      Piece.Workspace = Each.Workspace;
-      if (Shape.Accelerators <= Whole) {
-        Piece.Size = std::min(Whole, nextPowerOfTwo(Shape.Accelerators));
+      Cell NewCell;
+      NewCell.Workspace = Each.Workspace;
+      if (Shape.Accelerators <= PerWorker) {
+        NewCell.Size = std::min(PerWorker, nextPowerOfTwo(Shape.Accelerators));
       } else {
-        Piece.Size = (Shape.Accelerators + Whole - 1) / Whole * Whole;
-        Piece.Near = Shape.Near == Adjacency::SameWorker ? Adjacency::SameRack
-                                                         : Shape.Near;
+        NewCell.Size =
+            (Shape.Accelerators + PerWorker - 1) / PerWorker * PerWorker;
+        NewCell.Near = Shape.Near == Adjacency::SameWorker ? Adjacency::SameRack
+                                                           : Shape.Near;
       }
-      Result.insert(Result.end(), Shape.Count, Piece);
+      Result.insert(Result.end(), Shape.Count, NewCell);
     }
   }
   return Result;
@@ -69,27 +72,28 @@
 }
 
 void Guarantees::set(const std::vector<WorkspaceGuarantee> &Wanted) {
-  std::vector<Cell> Fresh = cellsOf(Wanted);
-  // Cells in use stay where they are; an equal wanted cell takes them over.
+  std::vector<Cell> NewCells = cellsOf(Wanted);
+  // A cell in use keeps its workers; an equal cell of the new guarantees adopts
+  // it.
   for (Cell &Old : Cells) {
     if (Old.Users == 0) {
       Old = Cell();
       continue;
     }
-    const auto Same =
-        std::find_if(Fresh.begin(), Fresh.end(), [&](const Cell &New) {
+    const auto Match =
+        std::find_if(NewCells.begin(), NewCells.end(), [&](const Cell &New) {
           return New.Workspace == Old.Workspace && New.Size == Old.Size &&
                  New.Near == Old.Near;
         });
-    Old.Retired = Same == Fresh.end();
+    Old.Retired = Match == NewCells.end();
     if (!Old.Retired)
-      Fresh.erase(Same);
+      NewCells.erase(Match);
   }
-  for (Cell &New : Fresh) {
-    const auto Dead = std::find_if(Cells.begin(), Cells.end(),
-                                   [](const Cell &C) { return C.Size == 0; });
-    if (Dead != Cells.end())
-      *Dead = New;
+  for (Cell &New : NewCells) {
+    const auto Unused = std::find_if(Cells.begin(), Cells.end(),
+                                     [](const Cell &C) { return C.Size == 0; });
+    if (Unused != Cells.end())
+      *Unused = New;
     else
       Cells.push_back(New);
   }
@@ -97,7 +101,7 @@
   workersChanged();
 }
 
-bool Guarantees::broken(const std::vector<CellUse> &Uses) const {
+bool Guarantees::hasUnusableWorker(const std::vector<CellUse> &Uses) const {
   for (const CellUse &Use : Uses)
     for (WorkerIndex I : Cells[Use.Cell].BoundTo)
       if (!Workers.worker(I).usable())
@@ -105,44 +109,43 @@
   return false;
 }
 
-std::uint32_t Guarantees::tasksOnPart(const Cell &Which, std::size_t Part,
+std::uint32_t Guarantees::tasksOnPart(const Cell &C, std::size_t Part,
                                       const Demand &Need) const {
-  const std::uint32_t Size = partSize(Which);
-  if (Which.BoundTo.empty())
+  const std::uint32_t Size = partSize(C);
+  if (C.BoundTo.empty())
     return Size / Need.Accelerators;
-  if (!Workers.worker(Which.BoundTo[Part]).usable())
+  if (!Workers.worker(C.BoundTo[Part]).usable())
     return 0;
-  return (Size - Which.Used[Part]) / Need.Accelerators;
+  return (Size - C.Used[Part]) / Need.Accelerators;
 }
 
-std::uint32_t Guarantees::tasksInCell(const Cell &Which,
-                                      const Demand &Need) const {
+std::uint32_t Guarantees::tasksInCell(const Cell &C, const Demand &Need) const {
   std::uint32_t Tasks = 0;
-  const std::uint32_t Count = parts(Which);
+  const std::uint32_t Count = parts(C);
   for (std::uint32_t Part = 0; Part < Count; ++Part)
-    Tasks += tasksOnPart(Which, Part, Need);
+    Tasks += tasksOnPart(C, Part, Need);
   return Tasks;
 }
 
-bool Guarantees::suits(const Cell &Which, const WorkspaceId &Workspace,
-                       const Demand &Need) const {
-  if (Which.Workspace != Workspace || Which.Suspended || Which.Retired)
+bool Guarantees::canServe(const Cell &C, const WorkspaceId &Workspace,
+                          const Demand &Need) const {
+  if (C.Workspace != Workspace || C.Unpackable || C.Retired)
     return false;
   const Adjacency Spread =
-      Which.Size <= workerSize() ? Adjacency::SameWorker : Which.Near;
-  if (width(Spread) > width(Need.Near))
-    return Need.Near == Adjacency::SameWorker && partFor(Which, Need) >= 0;
-  const std::uint32_t Tasks = tasksInCell(Which, Need);
-  // A gang that must lie together uses one cell; others may use several.
+      C.Size <= workerSize() ? Adjacency::SameWorker : C.Near;
+  if (spreadRank(Spread) > spreadRank(Need.Near))
+    return Need.Near == Adjacency::SameWorker && fullestPartFor(C, Need) >= 0;
+  const std::uint32_t Tasks = tasksInCell(C, Need);
+  // A gang with an adjacency constraint uses one cell; others may use several.
   return Need.Near == Adjacency::Any ? Tasks > 0 : Tasks >= Need.Tasks;
 }
 
-/// The fullest part of a wide cell that holds the whole gang, or -1.
-int Guarantees::partFor(const Cell &Which, const Demand &Need) const {
+/// Returns the fullest part of a wide cell that holds the whole gang, or -1.
+int Guarantees::fullestPartFor(const Cell &C, const Demand &Need) const {
   int Best = -1;
   std::uint32_t BestTasks = 0;
-  for (std::uint32_t Part = 0; Part < parts(Which); ++Part) {
-    const std::uint32_t Tasks = tasksOnPart(Which, Part, Need);
+  for (std::uint32_t Part = 0; Part < parts(C); ++Part) {
+    const std::uint32_t Tasks = tasksOnPart(C, Part, Need);
     if (Tasks < Need.Tasks || (Best >= 0 && Tasks >= BestTasks))
       continue;
     Best = static_cast<int>(Part);
@@ -151,7 +154,9 @@
   return Best;
 }
 
-bool Guarantees::withinShare(const Demand &Need) const {
+/// Returns whether the first present worker still holds the cores and memory
+/// when tasks of this demand use all of its accelerators.
+bool Guarantees::withinWorkerRatio(const Demand &Need) const {
   for (const Worker &Each : Workers.workers()) {
     if (!Each.Present)
       continue;
@@ -165,12 +170,12 @@
 std::vector<CellIndex> Guarantees::pickCells(const WorkspaceId &Workspace,
                                              const Demand &Need) const {
   std::vector<CellIndex> Fitting;
-  if (!withinShare(Need))
+  if (!withinWorkerRatio(Need))
     return Fitting;
   for (CellIndex Index : Order)
-    if (suits(Cells[Index], Workspace, Need))
+    if (canServe(Cells[Index], Workspace, Need))
       Fitting.push_back(Index);
-  // Bound cells first, so that whole ones stay whole; then the smallest.
+  // Bound cells first, so that unbound cells stay free; then the smallest.
   std::stable_sort(Fitting.begin(), Fitting.end(),
                    [&](CellIndex L, CellIndex R) {
                      const bool LeftBound = !Cells[L].BoundTo.empty();
@@ -192,18 +197,18 @@
   return !pickCells(Workspace, Need).empty();
 }
 
-std::vector<Member> Guarantees::spread(const Cell &Which, const Group &Bound,
-                                       const Demand &Need,
-                                       std::uint32_t Tasks) const {
+std::vector<Member> Guarantees::assignTasks(const Cell &C, const Group &Bound,
+                                            const Demand &Need,
+                                            std::uint32_t Tasks) const {
   std::vector<Member> Members;
   if (Need.Near == Adjacency::SameWorker) {
-    const int Part = partFor(Which, Need);
+    const int Part = fullestPartFor(C, Need);
     if (Part >= 0)
       Members.push_back({Bound[static_cast<std::size_t>(Part)], Tasks});
     return Members;
   }
   for (std::size_t Part = 0; Part < Bound.size() && Tasks > 0; ++Part) {
-    const std::uint32_t Here = std::min(Tasks, tasksOnPart(Which, Part, Need));
+    const std::uint32_t Here = std::min(Tasks, tasksOnPart(C, Part, Need));
     if (Here == 0)
       continue;
     Members.push_back({Bound[Part], Here});
@@ -213,90 +218,91 @@
 }
 
 std::vector<Guarantees::Location>
-Guarantees::narrowLocations(const Cell &Which, const Room &Free,
+Guarantees::narrowLocations(const Cell &C, const FreeAccelerators &Free,
                             std::uint32_t Tasks,
                             const EvictionCost &Cost) const {
-  // Tightest first, so that few costs need be reckoned.
+  // Best fit first, so that few costs have to be computed.
   std::vector<Location> Fitting;
   for (WorkerIndex I = 0; I < Free.size(); ++I)
-    if (Free[I] >= Which.Size)
-      Fitting.push_back({{I}, 0, leftover(I, Free) - Which.Size});
+    if (Free[I] >= C.Size)
+      Fitting.push_back({{I}, 0, leftover(I, Free) - C.Size});
   std::sort(
       Fitting.begin(), Fitting.end(), [](const Location &L, const Location &R) {
         return L.Leftover != R.Leftover ? L.Leftover < R.Leftover
                                         : L.Workers.front() < R.Workers.front();
       });
   std::vector<Location> Found;
-  std::size_t WithoutLoss = 0;
+  std::size_t ZeroCost = 0;
   for (Location &Each : Fitting) {
-    if (WithoutLoss >= EnoughWithoutLoss || Found.size() >= EnoughLocations)
+    if (ZeroCost >= MaxZeroCostLocations ||
+        Found.size() >= MaxEvaluatedLocations)
       break;
     Each.Cost = Cost(Each.Workers.front(), Tasks);
     if (Each.Cost < 0)
       continue;
-    WithoutLoss += Each.Cost == 0 ? 1 : 0;
+    ZeroCost += Each.Cost == 0 ? 1 : 0;
     Found.push_back(std::move(Each));
   }
   return Found;
 }
 
 std::vector<Guarantees::Location>
-Guarantees::wideLocations(const Cell &Which, const Room &Free,
+Guarantees::wideLocations(const Cell &C, const FreeAccelerators &Free,
                           const Demand &Need, std::uint32_t Tasks,
                           const EvictionCost &Cost) const {
   struct Candidate {
     double Loss;
     WorkerIndex Worker;
   };
-  const std::uint32_t Part = partSize(Which);
+  const std::uint32_t Part = partSize(C);
   const std::uint32_t PerPart = Part / Need.Accelerators;
   std::vector<Location> Found;
-  for (const Group &Together : Workers.groups(Which.Near)) {
-    std::vector<Candidate> Whole;
-    for (WorkerIndex I : Together) {
+  for (const Group &InGroup : Workers.groups(C.Near)) {
+    std::vector<Candidate> Candidates;
+    for (WorkerIndex I : InGroup) {
       const double Loss =
           Free[I] >= Part ? Cost(I, std::min(Tasks, PerPart)) : -1;
       if (Loss >= 0)
-        Whole.push_back({Loss, I});
+        Candidates.push_back({Loss, I});
     }
-    if (Whole.size() < parts(Which))
+    if (Candidates.size() < parts(C))
       continue;
     std::stable_sort(
-        Whole.begin(), Whole.end(),
+        Candidates.begin(), Candidates.end(),
         [](const Candidate &L, const Candidate &R) { return L.Loss < R.Loss; });
-    Location Place;
-    Place.Leftover = Whole.size() - parts(Which);
-    Whole.resize(parts(Which));
-    for (const Candidate &Each : Whole) {
-      Place.Workers.push_back(Each.Worker);
-      Place.Cost += Each.Loss;
+    Location Wide;
+    Wide.Leftover = Candidates.size() - parts(C);
+    Candidates.resize(parts(C));
+    for (const Candidate &Each : Candidates) {
+      Wide.Workers.push_back(Each.Worker);
+      Wide.Cost += Each.Loss;
     }
-    Found.push_back(std::move(Place));
+    Found.push_back(std::move(Wide));
   }
   return Found;
 }
 
-bool Guarantees::locate(const Cell &Which, Room &Free, const Demand &Need,
-                        std::uint32_t Tasks, const EvictionCost &Cost,
-                        const std::vector<CellIndex> &Placed,
-                        Group &Bound) const {
-  std::vector<Location> Found =
-      Which.Size <= workerSize()
-          ? narrowLocations(Which, Free, Tasks, Cost)
-          : wideLocations(Which, Free, Need, Tasks, Cost);
+bool Guarantees::findLocation(const Cell &C, FreeAccelerators &Free,
+                              const Demand &Need, std::uint32_t Tasks,
+                              const EvictionCost &Cost,
+                              const std::vector<CellIndex> &Placed,
+                              Group &Bound) const {
+  std::vector<Location> Found = C.Size <= workerSize()
+                                    ? narrowLocations(C, Free, Tasks, Cost)
+                                    : wideLocations(C, Free, Need, Tasks, Cost);
   std::stable_sort(Found.begin(), Found.end(),
                    [](const Location &L, const Location &R) {
                      if (L.Cost != R.Cost)
                        return L.Cost < R.Cost;
                      return L.Leftover < R.Leftover;
                    });
-  const std::uint32_t Part = partSize(Which);
+  const std::uint32_t Part = partSize(C);
   const auto Others = unboundCells(Placed);
-  std::size_t Tried = 0;
+  std::size_t Attempts = 0;
   for (const Location &Each : Found) {
-    if (Tried++ == MaxLocations)
+    if (Attempts++ == MaxPackingAttempts)
       break;
-    Room After = Free;
+    FreeAccelerators After = Free;
     for (WorkerIndex I : Each.Workers)
       After[I] -= Part;
     if (!packAll(After, Others))
@@ -315,22 +321,22 @@
   if (Picked.empty())
     return false;
   Chosen = GuaranteedPlacement();
-  Room Free = unboundRoom();
+  FreeAccelerators Free = unboundAccelerators();
   std::vector<CellIndex> Placed;
-  std::uint32_t Left = Need.Tasks;
+  std::uint32_t Remaining = Need.Tasks;
   for (CellIndex Index : Picked) {
-    if (Left == 0)
+    if (Remaining == 0)
       break;
-    const Cell &Which = Cells[Index];
-    const std::uint32_t Tasks = std::min(Left, tasksInCell(Which, Need));
-    Group Bound = Which.BoundTo;
+    const Cell &C = Cells[Index];
+    const std::uint32_t Tasks = std::min(Remaining, tasksInCell(C, Need));
+    Group Bound = C.BoundTo;
     Placed.push_back(Index);
     if (Bound.empty() &&
-        !locate(Which, Free, Need, Tasks, Cost, Placed, Bound)) {
+        !findLocation(C, Free, Need, Tasks, Cost, Placed, Bound)) {
       Placed.pop_back();
       continue;
     }
-    CellUse Use{Index, spread(Which, Bound, Need, Tasks)};
+    CellUse Use{Index, assignTasks(C, Bound, Need, Tasks)};
     const bool Evictable = std::all_of(
         Use.Members.begin(), Use.Members.end(),
         [&](const Member &Each) { return Cost(Each.Worker, Each.Tasks) >= 0; });
@@ -340,9 +346,9 @@
                           Use.Members.end());
     Chosen.Uses.push_back(std::move(Use));
     Chosen.Bindings.push_back(std::move(Bound));
-    Left -= Tasks;
+    Remaining -= Tasks;
   }
-  return Left == 0;
+  return Remaining == 0;
 }
 
 bool Guarantees::adopt(const WorkspaceId &Workspace, const Demand &Need,
@@ -350,32 +356,32 @@
                        GuaranteedPlacement &Chosen) const {
   Chosen = GuaranteedPlacement();
   Chosen.Members = Members;
-  Room Free = unboundRoom();
+  FreeAccelerators Free = unboundAccelerators();
   std::vector<CellIndex> Taken;
   for (const Member &Each : Members) {
-    std::uint32_t Left = Each.Tasks;
+    std::uint32_t Remaining = Each.Tasks;
     for (CellIndex Index : Order) {
-      const Cell &Which = Cells[Index];
-      const bool Narrow = Which.Size <= workerSize();
-      if (Left == 0)
+      const Cell &C = Cells[Index];
+      const bool Narrow = C.Size <= workerSize();
+      if (Remaining == 0)
         break;
-      if (Which.Workspace != Workspace || Which.Retired || !Narrow ||
+      if (C.Workspace != Workspace || C.Retired || !Narrow ||
           contains(Taken, Index))
         continue;
-      const bool Here = Which.BoundTo.empty() ? Free[Each.Worker] >= Which.Size
-                                              : Which.BoundTo[0] == Each.Worker;
+      const bool Here = C.BoundTo.empty() ? Free[Each.Worker] >= C.Size
+                                          : C.BoundTo[0] == Each.Worker;
       const std::uint32_t Tasks =
-          Here ? std::min(Left, tasksOnPart(Which, 0, Need)) : 0;
+          Here ? std::min(Remaining, tasksOnPart(C, 0, Need)) : 0;
       if (Tasks == 0)
         continue;
-      if (Which.BoundTo.empty())
-        Free[Each.Worker] -= Which.Size;
+      if (C.BoundTo.empty())
+        Free[Each.Worker] -= C.Size;
       Taken.push_back(Index);
       Chosen.Uses.push_back({Index, {{Each.Worker, Tasks}}});
       Chosen.Bindings.push_back({Each.Worker});
-      Left -= Tasks;
+      Remaining -= Tasks;
     }
-    if (Left > 0)
+    if (Remaining > 0)
       return false;
   }
   return !Members.empty();
@@ -383,18 +389,17 @@
 
 void Guarantees::bind(const GuaranteedPlacement &Chosen, const Demand &Need) {
   for (std::size_t I = 0; I < Chosen.Uses.size(); ++I) {
-    Cell &Which = Cells[Chosen.Uses[I].Cell];
-    if (Which.BoundTo.empty()) {
-      Which.BoundTo = Chosen.Bindings[I];
-      Which.Used.assign(Which.BoundTo.size(), 0);
+    Cell &C = Cells[Chosen.Uses[I].Cell];
+    if (C.BoundTo.empty()) {
+      C.BoundTo = Chosen.Bindings[I];
+      C.Used.assign(C.BoundTo.size(), 0);
     }
-    ++Which.Users;
+    ++C.Users;
     for (const Member &Each : Chosen.Uses[I].Members) {
       const auto Part =
-          std::find(Which.BoundTo.begin(), Which.BoundTo.end(), Each.Worker) -
-          Which.BoundTo.begin();
-      Which.Used[static_cast<std::size_t>(Part)] +=
-          Each.Tasks * Need.Accelerators;
+          std::find(C.BoundTo.begin(), C.BoundTo.end(), Each.Worker) -
+          C.BoundTo.begin();
+      C.Used[static_cast<std::size_t>(Part)] += Each.Tasks * Need.Accelerators;
     }
   }
 }
@@ -402,20 +407,19 @@
 void Guarantees::release(const std::vector<CellUse> &Uses, const Demand &Need) {
   bool Unbound = false;
   for (const CellUse &Use : Uses) {
-    Cell &Which = Cells[Use.Cell];
+    Cell &C = Cells[Use.Cell];
     for (const Member &Each : Use.Members) {
       const auto Part =
-          std::find(Which.BoundTo.begin(), Which.BoundTo.end(), Each.Worker) -
-          Which.BoundTo.begin();
-      Which.Used[static_cast<std::size_t>(Part)] -=
-          Each.Tasks * Need.Accelerators;
+          std::find(C.BoundTo.begin(), C.BoundTo.end(), Each.Worker) -
+          C.BoundTo.begin();
+      C.Used[static_cast<std::size_t>(Part)] -= Each.Tasks * Need.Accelerators;
     }
-    if (--Which.Users != 0)
+    if (--C.Users != 0)
       continue;
-    Which.BoundTo.clear();
-    Which.Used.clear();
-    if (Which.Retired)
-      Which = Cell();
+    C.BoundTo.clear();
+    C.Used.clear();
+    if (C.Retired)
+      C = Cell();
     Unbound = true;
   }
   if (Unbound)
--- a/src/scheduler/Guarantees.h
+++ b/src/scheduler/Guarantees.h
@@ -1,11 +1,3 @@
-/// \file
-/// Guaranteed pieces (cells) of the workspaces and where they are bound.
-///
-/// After the cell hierarchy of Zhao et al., "HiveD: Sharing a GPU Cluster for
-/// Deep Learning with Guarantees" (OSDI 2020): a cell is bound to a place on
-/// workers only while its workspace uses it, and stays bound whole, so that an
-/// ending gang always gives back a piece of the size that the guarantee names.
-
 #ifndef BAOBABCOVE_SCHEDULER_GUARANTEES_H
 #define BAOBABCOVE_SCHEDULER_GUARANTEES_H
 
@@ -16,75 +8,83 @@
 
 namespace baobabcove {
 
-/// Position of a cell in its table.
+/// Index of a cell in Guarantees.
 using CellIndex = std::uint32_t;
 
-/// Whether a list of cells names \p Index.
+/// Returns whether a list of cells contains \p Index.
 inline bool contains(const std::vector<CellIndex> &List, CellIndex Index) {
   return std::find(List.begin(), List.end(), Index) != List.end();
 }
 
-/// Part of a cell that a gang uses.
+/// A gang's tasks in one cell.
 struct CellUse {
   CellIndex Cell = 0;
   std::vector<Member> Members;
 };
 
-/// Where a gang would run within its guarantee.
+/// Placement of a gang within its workspace's guarantee.
 struct GuaranteedPlacement {
   std::vector<CellUse> Uses;
-  /// For each use, the workers that the cell is bound to.
+  /// Workers that the cell is bound to, for each element of Uses.
   std::vector<Group> Bindings;
   std::vector<Member> Members;
 };
 
-/// Loss, in accelerator milliseconds, of freeing \p Tasks tasks of a gang on a
-/// worker; negative when it cannot be freed.
+/// Cost, in accelerator milliseconds, of making room for \p Tasks tasks on a
+/// worker; negative when that is not possible.
 using EvictionCost = std::function<double(WorkerIndex, std::uint32_t Tasks)>;
 
-/// The cells of all workspaces.
+/// Assigns the guaranteed cells of the workspaces to workers.
+///
+/// Follows the cell hierarchy of Zhao et al., "HiveD: Sharing a GPU Cluster for
+/// Deep Learning with Guarantees" (OSDI 2020): a cell is bound to workers only
+/// while its workspace uses it, and is always bound as a whole, so that a gang
+/// that ends always frees a cell of the size that the guarantee names.
 class Guarantees {
 public:
   explicit Guarantees(const Cluster &Workers) : Workers(Workers) {}
 
-  /// Replaces the guarantees. Cells in use are kept until their gangs end.
+  /// Replaces the guarantees. Cells in use remain until their gangs end.
   void set(const std::vector<WorkspaceGuarantee> &Wanted);
 
-  /// Whether the free cells of \p Workspace could hold \p Need.
+  /// Returns whether the free cells of \p Workspace could hold \p Need.
   bool covers(const WorkspaceId &Workspace, const Demand &Need) const;
 
-  /// Chooses cells and workers for a gang at the least eviction cost such that
-  /// every other free cell can still be packed. Returns false when there is no
-  /// such choice now.
+  /// Chooses cells and workers for a gang at the lowest eviction cost such that
+  /// all other free cells can still be packed. Returns false when no such
+  /// choice exists now.
   bool choose(const WorkspaceId &Workspace, const Demand &Need,
               const EvictionCost &Cost, GuaranteedPlacement &Chosen) const;
 
-  /// Finds cells for a gang that already runs on \p Members. Returns false
-  /// when the guarantee does not cover it there.
+  /// Chooses cells for a gang that already runs on \p Members. Returns false
+  /// when the guarantee does not cover it on these workers.
   bool adopt(const WorkspaceId &Workspace, const Demand &Need,
              const std::vector<Member> &Members,
              GuaranteedPlacement &Chosen) const;
 
-  /// Binds the chosen cells.
+  /// Binds the chosen cells to their workers and adds the gang to their users.
   void bind(const GuaranteedPlacement &Chosen, const Demand &Need);
 
-  /// Ends a gang's use; a cell without users is unbound.
+  /// Removes a gang from its cells; a cell without users is unbound.
   void release(const std::vector<CellUse> &Uses, const Demand &Need);
 
-  /// Whether a used cell lies on a worker that can take no more gangs.
-  bool broken(const std::vector<CellUse> &Uses) const;
+  /// Returns whether one of the cells is bound to a worker that takes no new
+  /// gangs.
+  bool hasUnusableWorker(const std::vector<CellUse> &Uses) const;
 
-  /// Finds which cells the present workers can hold at once. Call it after
-  /// workers have come or gone.
+  /// Determines which cells the present workers can hold at the same time. Must
+  /// be called after workers were added or lost.
   void workersChanged();
 
-  /// Whether all shapes could be packed on the empty present workers.
+  /// Returns whether all shapes could be packed on the present workers if these
+  /// were empty.
   bool packableWhenEmpty(const std::vector<WorkspaceGuarantee> &Wanted) const;
 
-  /// Free cells that the present workers cannot hold.
+  /// Returns the number of free cells that the present workers cannot hold.
   std::size_t unpackable() const;
 
 private:
+  /// One piece of a workspace's guarantee.
   struct Cell {
     WorkspaceId Workspace;
     std::uint32_t Size = 0;
@@ -92,20 +92,23 @@
     /// Accelerators in use, for each worker in BoundTo.
     std::vector<std::uint32_t> Used;
     Group BoundTo;
+    /// Gangs with tasks in the cell.
     std::uint32_t Users = 0;
-    bool Suspended = false;
-    /// No longer part of the configuration; freed when its users end.
+    /// The present workers cannot hold this free cell.
+    bool Unpackable = false;
+    /// No longer configured; removed when its last user ends.
     bool Retired = false;
   };
 
-  /// Accelerators of each worker that no cell is bound to.
-  using Room = std::vector<std::uint32_t>;
+  /// For each worker, the accelerators that no cell is bound to.
+  using FreeAccelerators = std::vector<std::uint32_t>;
 
-  /// A place for an unbound cell.
+  /// Workers to which an unbound cell could be bound.
   struct Location {
     Group Workers;
     double Cost = 0;
-    /// What the location leaves over; less keeps larger pieces whole.
+    /// Rank by what remains free near the location; a lower value leaves larger
+    /// blocks elsewhere.
     std::uint64_t Leftover = 0;
   };
 
@@ -113,40 +116,44 @@
   cellsOf(const std::vector<WorkspaceGuarantee> &Wanted) const;
   void orderCells();
   std::uint32_t workerSize() const;
-  std::uint32_t partSize(const Cell &Which) const;
-  std::uint32_t parts(const Cell &Which) const;
-  Room emptyRoom() const;
-  Room unboundRoom() const;
-  static std::vector<std::uint32_t> levels(const Room &Free);
-  bool packWide(Room &Free, const Cell &Which) const;
-  bool packAll(Room Free, const std::vector<const Cell *> &Pieces) const;
+  std::uint32_t partSize(const Cell &C) const;
+  std::uint32_t parts(const Cell &C) const;
+  FreeAccelerators acceleratorsWhenEmpty() const;
+  FreeAccelerators unboundAccelerators() const;
+  static std::vector<std::uint32_t> workersByFree(const FreeAccelerators &Free);
+  bool packWide(FreeAccelerators &Free, const Cell &C) const;
+  bool packAll(FreeAccelerators Free,
+               const std::vector<const Cell *> &ToPack) const;
   std::vector<const Cell *>
   unboundCells(const std::vector<CellIndex> &Skipped) const;
-  std::uint32_t tasksOnPart(const Cell &Which, std::size_t Part,
+  std::uint32_t tasksOnPart(const Cell &C, std::size_t Part,
                             const Demand &Need) const;
-  std::uint32_t tasksInCell(const Cell &Which, const Demand &Need) const;
-  int partFor(const Cell &Which, const Demand &Need) const;
-  bool suits(const Cell &Which, const WorkspaceId &Workspace,
-             const Demand &Need) const;
-  bool withinShare(const Demand &Need) const;
+  std::uint32_t tasksInCell(const Cell &C, const Demand &Need) const;
+  int fullestPartFor(const Cell &C, const Demand &Need) const;
+  bool canServe(const Cell &C, const WorkspaceId &Workspace,
+                const Demand &Need) const;
+  bool withinWorkerRatio(const Demand &Need) const;
   std::vector<CellIndex> pickCells(const WorkspaceId &Workspace,
                                    const Demand &Need) const;
-  std::vector<Member> spread(const Cell &Which, const Group &Bound,
-                             const Demand &Need, std::uint32_t Tasks) const;
-  std::uint64_t leftover(WorkerIndex Index, const Room &Free) const;
-  std::vector<Location> narrowLocations(const Cell &Which, const Room &Free,
+  std::vector<Member> assignTasks(const Cell &C, const Group &Bound,
+                                  const Demand &Need,
+                                  std::uint32_t Tasks) const;
+  std::uint64_t leftover(WorkerIndex Index, const FreeAccelerators &Free) const;
+  std::vector<Location> narrowLocations(const Cell &C,
+                                        const FreeAccelerators &Free,
                                         std::uint32_t Tasks,
                                         const EvictionCost &Cost) const;
-  std::vector<Location> wideLocations(const Cell &Which, const Room &Free,
+  std::vector<Location> wideLocations(const Cell &C,
+                                      const FreeAccelerators &Free,
                                       const Demand &Need, std::uint32_t Tasks,
                                       const EvictionCost &Cost) const;
-  bool locate(const Cell &Which, Room &Free, const Demand &Need,
-              std::uint32_t Tasks, const EvictionCost &Cost,
-              const std::vector<CellIndex> &Placed, Group &Bound) const;
+  bool findLocation(const Cell &C, FreeAccelerators &Free, const Demand &Need,
+                    std::uint32_t Tasks, const EvictionCost &Cost,
+                    const std::vector<CellIndex> &Placed, Group &Bound) const;
 
   const Cluster &Workers;
   std::vector<Cell> Cells;
-  /// Positions of the live cells, largest first.
+  /// Indices of the cells that exist, largest first.
   std::vector<CellIndex> Order;
 };
 
--- a/src/scheduler/Job.h
+++ b/src/scheduler/Job.h
@@ -1,6 +1,3 @@
-/// \file
-/// A job as the scheduler keeps it.
-
 #ifndef BAOBABCOVE_SCHEDULER_JOB_H
 #define BAOBABCOVE_SCHEDULER_JOB_H
 
@@ -10,15 +7,17 @@
 
 namespace baobabcove {
 
+/// Where a job stands between submission and its end.
 enum class JobPhase {
   Queued,
-  /// Has its workers, but gangs that are being stopped still hold them.
-  Planned,
+  /// Workers are assigned, but gangs that are being stopped still occupy them.
+  Reserved,
   Starting,
   Running,
   Stopping,
 };
 
+/// The scheduler's record of a job that has not ended.
 struct Job {
   JobInfo Info;
   Demand Need;
@@ -26,29 +25,31 @@
   Attempt Number;
   std::vector<Member> Members;
   bool Borrowed = false;
-  /// Parts of the guarantee in use; empty for a borrowed gang.
+  /// Guaranteed cells in use; empty for a borrowed gang.
   std::vector<CellUse> Uses;
   Instant Started;
-  /// Run time kept by the last checkpoint.
-  Milliseconds Kept{0};
+  /// Run time saved by the last checkpoint.
+  Milliseconds CheckpointedRun{0};
   std::set<NodeId> FailedOn;
   std::uint32_t Failures = 0;
-  /// Not to be started before.
+  /// Earliest time of the next start.
   Instant NotBefore;
   bool CancelRequested = false;
-  /// Started because it had waited too long; only a guarantee may evict it.
+  /// Started because it exceeded the age limit; only a reclaim for a guarantee
+  /// may evict it.
   bool Protected = false;
-  /// Set while no known set of workers could hold it.
+  /// Set while no set of known workers could hold the gang.
   bool Impossible = false;
   Instant ImpossibleSince;
+  /// Position in the queue; lower ranks start first.
   double Rank = 0;
-  /// While stopping: when it is stopped at the latest.
-  Instant StopBy;
+  /// While stopping: the latest time at which it is stopped.
+  Instant StopDeadline;
 };
 
-/// Takes a job out of a list.
-inline void removeFrom(std::vector<Job *> &From, const Job *Which) {
-  From.erase(std::remove(From.begin(), From.end(), Which), From.end());
+/// Removes every occurrence of a job from a list.
+inline void removeFrom(std::vector<Job *> &List, const Job *J) {
+  List.erase(std::remove(List.begin(), List.end(), J), List.end());
 }
 
 } // namespace baobabcove
--- a/src/scheduler/PlacementPolicy.cpp
+++ b/src/scheduler/PlacementPolicy.cpp
@@ -6,29 +6,29 @@
 
 namespace {
 
-/// Tasks that fit on the workers of a group, counted up to what is needed.
-std::uint32_t roomInGroup(const Group &Together, const Demand &Need,
-                          const RoomOnWorker &Room) {
+/// Returns how many tasks fit on the workers of a group, at most Need.Tasks.
+std::uint32_t slotsInGroup(const Group &InGroup, const Demand &Need,
+                           const WorkerTaskSlots &Slots) {
   std::uint32_t Tasks = 0;
-  for (WorkerIndex I : Together) {
-    Tasks += Room(I);
+  for (WorkerIndex I : InGroup) {
+    Tasks += Slots(I);
     if (Tasks >= Need.Tasks)
       return Need.Tasks;
   }
   return Tasks;
 }
 
-/// Fills the gang from the workers in the order given.
-void fill(const Group &Ordered, const Demand &Need, const RoomOnWorker &Room,
-          std::vector<Member> &Chosen) {
-  std::uint32_t Left = Need.Tasks;
+/// Assigns the gang's tasks to the workers in the given order.
+void assignInOrder(const Group &Ordered, const Demand &Need,
+                   const WorkerTaskSlots &Slots, std::vector<Member> &Chosen) {
+  std::uint32_t Remaining = Need.Tasks;
   for (WorkerIndex I : Ordered) {
-    const std::uint32_t Here = std::min(Left, Room(I));
+    const std::uint32_t Here = std::min(Remaining, Slots(I));
     if (Here == 0)
       continue;
     Chosen.push_back({I, Here});
-    Left -= Here;
-    if (Left == 0)
+    Remaining -= Here;
+    if (Remaining == 0)
       return;
   }
 }
@@ -36,21 +36,21 @@
 class FirstFit : public PlacementPolicy {
 public:
   bool choose(const Cluster &Workers, const Demand &Need,
-              const RoomOnWorker &Room,
+              const WorkerTaskSlots &Slots,
               std::vector<Member> &Chosen) const override {
-    for (const Group &Together : Workers.groups(Need.Near)) {
-      if (roomInGroup(Together, Need, Room) < Need.Tasks)
+    for (const Group &InGroup : Workers.groups(Need.Near)) {
+      if (slotsInGroup(InGroup, Need, Slots) < Need.Tasks)
         continue;
-      fill(Together, Need, Room, Chosen);
+      assignInOrder(InGroup, Need, Slots, Chosen);
       return true;
     }
     return false;
   }
 };
 
-std::int64_t freeInGroup(const Cluster &Workers, const Group &Together) {
+std::int64_t freeInGroup(const Cluster &Workers, const Group &InGroup) {
   std::int64_t Free = 0;
-  for (WorkerIndex I : Together)
+  for (WorkerIndex I : InGroup)
     Free += Workers.worker(I).Free.Accelerators;
   return Free;
 }
@@ -58,15 +58,15 @@
 class BestFit : public PlacementPolicy {
 public:
   bool choose(const Cluster &Workers, const Demand &Need,
-              const RoomOnWorker &Room,
+              const WorkerTaskSlots &Slots,
               std::vector<Member> &Chosen) const override {
     const Group *Best = nullptr;
     std::int64_t BestFree = std::numeric_limits<std::int64_t>::max();
-    for (const Group &Together : Workers.groups(Need.Near)) {
-      const std::int64_t Free = freeInGroup(Workers, Together);
-      if (Free >= BestFree || roomInGroup(Together, Need, Room) < Need.Tasks)
+    for (const Group &InGroup : Workers.groups(Need.Near)) {
+      const std::int64_t Free = freeInGroup(Workers, InGroup);
+      if (Free >= BestFree || slotsInGroup(InGroup, Need, Slots) < Need.Tasks)
         continue;
-      Best = &Together;
+      Best = &InGroup;
       BestFree = Free;
     }
     if (!Best)
@@ -77,7 +77,7 @@
                        return Workers.worker(L).Free.Accelerators <
                               Workers.worker(R).Free.Accelerators;
                      });
-    fill(Ordered, Need, Room, Chosen);
+    assignInOrder(Ordered, Need, Slots, Chosen);
     return true;
   }
 };
@@ -85,13 +85,13 @@
 class PackingFit : public PlacementPolicy {
 public:
   bool choose(const Cluster &Workers, const Demand &Need,
-              const RoomOnWorker &Room,
+              const WorkerTaskSlots &Slots,
               std::vector<Member> &Chosen) const override {
     static constexpr Adjacency Levels[] = {
         Adjacency::SameWorker, Adjacency::SameRack, Adjacency::SameDataCentre,
         Adjacency::Any};
     for (const Adjacency Level : Levels) {
-      if (chooseWithin(Workers, Workers.groups(Level), Need, Room, Chosen))
+      if (chooseWithin(Workers, Workers.groups(Level), Need, Slots, Chosen))
         return true;
       if (Level == Need.Near)
         return false;
@@ -102,62 +102,65 @@
 private:
   static bool chooseWithin(const Cluster &Workers,
                            const std::vector<Group> &Groups, const Demand &Need,
-                           const RoomOnWorker &Room,
+                           const WorkerTaskSlots &Slots,
                            std::vector<Member> &Chosen) {
     const Group *Best = nullptr;
     std::int64_t BestFree = std::numeric_limits<std::int64_t>::max();
     std::int64_t BestRackFree = 0;
-    for (const Group &Together : Groups) {
-      const std::int64_t Free = freeInGroup(Workers, Together);
-      if (Free > BestFree || roomInGroup(Together, Need, Room) < Need.Tasks)
+    for (const Group &InGroup : Groups) {
+      const std::int64_t Free = freeInGroup(Workers, InGroup);
+      if (Free > BestFree || slotsInGroup(InGroup, Need, Slots) < Need.Tasks)
         continue;
-      // Of equal places, the one in the fuller rack keeps other racks whole.
-      const std::int64_t RackFree = Workers.freeInRack(Together.front());
+      // Among equal groups, prefer the fuller rack to leave other racks empty.
+      const std::int64_t RackFree = Workers.freeInRack(InGroup.front());
       if (Free == BestFree && RackFree >= BestRackFree)
         continue;
-      Best = &Together;
+      Best = &InGroup;
       BestFree = Free;
       BestRackFree = RackFree;
     }
     if (!Best)
       return false;
-    fillTightly(Workers, *Best, Need, Room, Chosen);
+    assignTightly(Workers, *Best, Need, Slots, Chosen);
     return true;
   }
 
-  /// Takes the worker that holds most of what is left, and for the last tasks
-  /// the fullest worker that holds them all.
-  static void fillTightly(const Cluster &Workers, const Group &Together,
-                          const Demand &Need, const RoomOnWorker &Room,
-                          std::vector<Member> &Chosen) {
-    Group Ordered = Together;
+  /// Repeatedly takes the worker that holds the most tasks; the last tasks go
+  /// to the fullest worker that holds them all.
+  static void assignTightly(const Cluster &Workers, const Group &InGroup,
+                            const Demand &Need, const WorkerTaskSlots &Slots,
+                            std::vector<Member> &Chosen) {
+    Group Ordered = InGroup;
     std::stable_sort(Ordered.begin(), Ordered.end(),
                      [&](WorkerIndex L, WorkerIndex R) {
-                       const std::uint32_t Left = Room(L);
-                       const std::uint32_t Right = Room(R);
+                       const std::uint32_t Left = Slots(L);
+                       const std::uint32_t Right = Slots(R);
                        if (Left != Right)
                          return Left > Right;
                        return Workers.worker(L).Free.Accelerators <
                               Workers.worker(R).Free.Accelerators;
                      });
-    std::uint32_t Left = Need.Tasks;
-    for (std::size_t I = 0; I < Ordered.size() && Left > 0; ++I) {
+    std::uint32_t Remaining = Need.Tasks;
+    for (std::size_t I = 0; I < Ordered.size() && Remaining > 0; ++I) {
       std::size_t Pick = I;
-      if (Room(Ordered[I]) >= Left)
-        Pick = tightest(Workers, Ordered, I, Left, Room);
-      const std::uint32_t Here = std::min(Left, Room(Ordered[Pick]));
+      if (Slots(Ordered[I]) >= Remaining)
+        Pick = tightestWorker(Workers, Ordered, I, Remaining, Slots);
+      const std::uint32_t Here = std::min(Remaining, Slots(Ordered[Pick]));
       if (Here > 0)
         Chosen.push_back({Ordered[Pick], Here});
-      Left -= Here;
+      Remaining -= Here;
     }
   }
 
-  static std::size_t tightest(const Cluster &Workers, const Group &Ordered,
-                              std::size_t From, std::uint32_t Left,
-                              const RoomOnWorker &Room) {
+  /// Returns the position in \p Ordered, from \p From on, of the worker with
+  /// the fewest free accelerators that holds all remaining tasks.
+  static std::size_t tightestWorker(const Cluster &Workers,
+                                    const Group &Ordered, std::size_t From,
+                                    std::uint32_t Remaining,
+                                    const WorkerTaskSlots &Slots) {
     std::size_t Pick = From;
     for (std::size_t I = From; I < Ordered.size(); ++I) {
-      if (Room(Ordered[I]) < Left)
+      if (Slots(Ordered[I]) < Remaining)
         break;
       if (Workers.worker(Ordered[I]).Free.Accelerators <
           Workers.worker(Ordered[Pick]).Free.Accelerators)
--- a/src/scheduler/PlacementPolicy.h
+++ b/src/scheduler/PlacementPolicy.h
@@ -1,6 +1,3 @@
-/// \file
-/// Strategies that choose workers for a gang out of what is free.
-
 #ifndef BAOBABCOVE_SCHEDULER_PLACEMENTPOLICY_H
 #define BAOBABCOVE_SCHEDULER_PLACEMENTPOLICY_H
 
@@ -11,29 +8,30 @@
 
 namespace baobabcove {
 
-/// Tasks of the demand that a worker may take now; zero for a worker that is
-/// not to be used.
-using RoomOnWorker = std::function<std::uint32_t(WorkerIndex)>;
+/// Returns how many tasks of the demand a worker can take now; zero for a
+/// worker that must not be used.
+using WorkerTaskSlots = std::function<std::uint32_t(WorkerIndex)>;
 
-/// Chooses where a gang runs.
+/// Strategy that chooses workers with free resources for a gang.
 class PlacementPolicy {
 public:
   virtual ~PlacementPolicy() = default;
 
   /// Fills \p Chosen with members for every task of \p Need, or returns false
-  /// when the gang does not fit whole.
+  /// when the whole gang does not fit.
   virtual bool choose(const Cluster &Workers, const Demand &Need,
-                      const RoomOnWorker &Room,
+                      const WorkerTaskSlots &Slots,
                       std::vector<Member> &Chosen) const = 0;
 };
 
-/// Takes the first group and the first workers that fit.
+/// Creates the policy that takes the first group and workers that fit.
 std::unique_ptr<PlacementPolicy> makeFirstFit();
-/// Takes the rack with the least room that fits, and in it the fullest worker.
+/// Creates the policy that takes the group with the fewest free accelerators
+/// that fits, and the fullest workers in it.
 std::unique_ptr<PlacementPolicy> makeBestFit();
-/// Keeps whole workers and whole racks whole: takes the narrowest level of
-/// adjacency that fits, the place with the least left over, and the fewest
-/// workers.
+/// Creates the policy that limits fragmentation: it takes the narrowest level
+/// of adjacency that fits, the group with the fewest free accelerators, and the
+/// fewest workers, so that empty workers and racks stay available.
 std::unique_ptr<PlacementPolicy> makePackingFit();
 
 } // namespace baobabcove
--- a/src/scheduler/Scheduler.cpp
+++ b/src/scheduler/Scheduler.cpp
@@ -54,8 +54,9 @@
   Impl->jobRunning(Info, Number, Members, Borrowed, Started);
 }
 
-void Scheduler::attemptUsed(const JobId &Job, Attempt Last, Milliseconds Kept) {
-  Impl->attemptUsed(Job, Last, Kept);
+void Scheduler::attemptUsed(const JobId &Job, Attempt Last,
+                            Milliseconds CheckpointedRun) {
+  Impl->attemptUsed(Job, Last, CheckpointedRun);
 }
 
 void Scheduler::jobCancelled(const JobId &Job, Instant) {
--- a/src/scheduler/SchedulerCore.cpp
+++ b/src/scheduler/SchedulerCore.cpp
@@ -6,29 +6,33 @@
 
 namespace {
 
-/// A job that failed on this many different workers is at fault itself.
-constexpr std::size_t WorkersToBlameJob = 3;
+/// A job that failed on this many different workers is considered faulty.
+constexpr std::size_t MaxDistinctFailedWorkers = 3;
+/// A job is ended after this many failures, on whichever workers.
 constexpr std::uint32_t MaxFailures = 6;
+/// Delay before a gang that could not be started is tried again.
 constexpr Milliseconds RefusalBackoff{500};
+/// Delay after the first failure is twice this value; it doubles with each
+/// further failure.
 constexpr Milliseconds FirstBackoff{5000};
 constexpr std::uint32_t MaxBackoffDoublings = 6;
 
-struct PolicyRow {
+struct PolicyDefinition {
   const char *Name;
   std::unique_ptr<PlacementPolicy> (*Make)();
   PolicyTraits Traits;
 };
 
-const PolicyRow &policyRow(const std::string &Name) {
-  static const PolicyRow Rows[] = {
+const PolicyDefinition &policyDefinition(const std::string &Name) {
+  static const PolicyDefinition Definitions[] = {
       {"packing", &makePackingFit, {true, true, true, true}},
       {"best-fit", &makeBestFit, {false, false, false, false}},
       {"first-fit", &makeFirstFit, {false, false, false, false}},
   };
-  for (const PolicyRow &Row : Rows)
-    if (Name == Row.Name)
-      return Row;
-  return Rows[0];
+  for (const PolicyDefinition &Definition : Definitions)
+    if (Name == Definition.Name)
+      return Definition;
+  return Definitions[0];
 }
 
 Milliseconds backoffAfter(std::uint32_t Failures) {
@@ -38,15 +42,15 @@
 } // namespace
 
 Scheduler::Core::Core(const SchedulerOptions &Options)
-    : Options(Options), Placement(policyRow(Options.Policy).Make()),
-      Traits(policyRow(Options.Policy).Traits) {}
+    : Options(Options), Placement(policyDefinition(Options.Policy).Make()),
+      Traits(policyDefinition(Options.Policy).Traits) {}
 
 const Job *Scheduler::Core::find(const JobId &Id) const {
   const auto Found = Jobs.find(Id);
   return Found == Jobs.end() ? nullptr : Found->second.get();
 }
 
-Job *Scheduler::Core::lookUp(const JobId &Id, Attempt Number) {
+Job *Scheduler::Core::findAttempt(const JobId &Id, Attempt Number) {
   const auto Found = Jobs.find(Id);
   if (Found == Jobs.end() || Found->second->Number != Number)
     return nullptr;
@@ -57,9 +61,9 @@
   WorkerIndex Index = 0;
   const bool Known = Workers.find(Info.Id, Index);
   const bool WasUsable = Known && Workers.worker(Index).usable();
-  Index = Workers.see(Info);
-  if (OnWorker.size() <= Index)
-    OnWorker.resize(Index + 1);
+  Index = Workers.addOrUpdate(Info);
+  if (GangsOnWorker.size() <= Index)
+    GangsOnWorker.resize(Index + 1);
   if (WasUsable != Workers.worker(Index).usable())
     workersChanged();
 }
@@ -68,80 +72,82 @@
   WorkerIndex Index = 0;
   if (!Workers.find(Id, Index) || !Workers.worker(Index).Present)
     return;
-  Workers.lose(Index);
+  Workers.markLost(Index);
   Workers.setQuarantined(Index, false);
   Health.forget(Index);
-  const std::vector<Job *> Residents = OnWorker[Index];
-  for (Job *Each : Residents)
-    if (Each->Phase == JobPhase::Planned)
-      unplan(*Each);
+  const std::vector<Job *> GangsHere = GangsOnWorker[Index];
+  for (Job *Each : GangsHere)
+    if (Each->Phase == JobPhase::Reserved)
+      cancelReservation(*Each);
   workersChanged();
 }
 
 void Scheduler::Core::jobQueued(const JobInfo &Info, Instant Now) {
   if (Jobs.count(Info.Id) != 0)
     return;
-  auto Fresh = std::make_unique<Job>();
-  Fresh->Info = Info;
-  Fresh->Need = demandOf(Info);
-  Fresh->NotBefore = Now;
-  Fresh->Impossible = !canEverRun(Info);
-  Fresh->ImpossibleSince = Now;
-  Waiting.push_back(Fresh.get());
-  Jobs[Info.Id] = std::move(Fresh);
+  auto NewJob = std::make_unique<Job>();
+  NewJob->Info = Info;
+  NewJob->Need = demandOf(Info);
+  NewJob->NotBefore = Now;
+  NewJob->Impossible = !canEverRun(Info);
+  NewJob->ImpossibleSince = Now;
+  Queue.push_back(NewJob.get());
+  Jobs[Info.Id] = std::move(NewJob);
   LastRanked = Instant();
 }
 
 void Scheduler::Core::jobRunning(const JobInfo &Info, Attempt Number,
                                  const std::vector<struct Placement> &Members,
                                  bool Borrowed, Instant Started) {
-  auto Found = std::make_unique<Job>();
-  Found->Info = Info;
-  Found->Need = demandOf(Info);
-  Found->Number = Number;
-  Found->Phase = JobPhase::Running;
-  Found->Borrowed = Borrowed;
-  Found->Started = Started;
+  auto NewJob = std::make_unique<Job>();
+  NewJob->Info = Info;
+  NewJob->Need = demandOf(Info);
+  NewJob->Number = Number;
+  NewJob->Phase = JobPhase::Running;
+  NewJob->Borrowed = Borrowed;
+  NewJob->Started = Started;
   for (const auto &Each : Members) {
     WorkerIndex Index = 0;
     if (Workers.find(Each.Worker, Index))
-      Found->Members.push_back({Index, Each.Tasks});
+      NewJob->Members.push_back({Index, Each.Tasks});
   }
-  Workers.take(Found->Members, Found->Need);
+  Workers.allocate(NewJob->Members, NewJob->Need);
   GuaranteedPlacement Chosen;
   if (!Borrowed &&
-      Guaranteed.adopt(Info.Workspace, Found->Need, Found->Members, Chosen)) {
-    Guaranteed.bind(Chosen, Found->Need);
-    Found->Uses = std::move(Chosen.Uses);
+      Guaranteed.adopt(Info.Workspace, NewJob->Need, NewJob->Members, Chosen)) {
+    Guaranteed.bind(Chosen, NewJob->Need);
+    NewJob->Uses = std::move(Chosen.Uses);
   } else {
-    // What no cell covers must stay reclaimable.
-    Found->Borrowed = true;
+    // A gang outside the guaranteed cells must remain reclaimable.
+    NewJob->Borrowed = true;
   }
-  Job &Kept = *Found;
-  Jobs[Info.Id] = std::move(Found);
-  reside(Kept);
+  Job &Adopted = *NewJob;
+  Jobs[Info.Id] = std::move(NewJob);
+  addToWorkers(Adopted);
 }
 
 void Scheduler::Core::attemptUsed(const JobId &Id, Attempt Last,
-                                  Milliseconds Kept) {
+                                  Milliseconds CheckpointedRun) {
   const auto Found = Jobs.find(Id);
   if (Found == Jobs.end())
     return;
   if (Found->second->Number < Last)
     Found->second->Number = Last;
-  Found->second->Kept = std::max(Found->second->Kept, Kept);
+  Found->second->CheckpointedRun =
+      std::max(Found->second->CheckpointedRun, CheckpointedRun);
 }
 
-void Scheduler::Core::reside(Job &Gang) {
+void Scheduler::Core::addToWorkers(Job &Gang) {
   for (const Member &Each : Gang.Members)
-    OnWorker[Each.Worker].push_back(&Gang);
+    GangsOnWorker[Each.Worker].push_back(&Gang);
 }
 
-/// A cell on a worker that takes nothing more cannot be claimed there, so it
-/// is bound anew elsewhere; the gangs that used it run on as borrowers.
+/// A cell on a worker that takes no new gangs cannot be claimed there. Unbinds
+/// such cells so that they can be bound elsewhere; the gangs that used them
+/// continue as borrowers.
 void Scheduler::Core::workersChanged() {
   for (auto &[Id, Gang] : Jobs) {
-    if (Gang->Uses.empty() || !Guaranteed.broken(Gang->Uses))
+    if (Gang->Uses.empty() || !Guaranteed.hasUnusableWorker(Gang->Uses))
       continue;
     Guaranteed.release(Gang->Uses, Gang->Need);
     Gang->Uses.clear();
@@ -152,10 +158,10 @@
 
 void Scheduler::Core::release(Job &Gang) {
   if (Gang.Phase == JobPhase::Stopping)
-    Workers.setLeaving(Gang.Members, Gang.Need, false);
-  Workers.give(Gang.Members, Gang.Need);
+    Workers.setBeingFreed(Gang.Members, Gang.Need, false);
+  Workers.deallocate(Gang.Members, Gang.Need);
   for (const Member &Each : Gang.Members)
-    removeFrom(OnWorker[Each.Worker], &Gang);
+    removeFrom(GangsOnWorker[Each.Worker], &Gang);
   if (!Gang.Uses.empty())
     Guaranteed.release(Gang.Uses, Gang.Need);
   Gang.Uses.clear();
@@ -163,29 +169,29 @@
   Gang.Borrowed = false;
 }
 
-void Scheduler::Core::requeue(Job &Again, Instant NotBefore) {
-  Again.Phase = JobPhase::Queued;
-  Again.NotBefore = NotBefore;
-  Again.Protected = false;
-  Waiting.push_back(&Again);
+void Scheduler::Core::requeue(Job &J, Instant NotBefore) {
+  J.Phase = JobPhase::Queued;
+  J.NotBefore = NotBefore;
+  J.Protected = false;
+  Queue.push_back(&J);
   LastRanked = Instant();
 }
 
-void Scheduler::Core::unplan(Job &Gang) {
-  removeFrom(Planned, &Gang);
+void Scheduler::Core::cancelReservation(Job &Gang) {
+  removeFrom(Reservations, &Gang);
   release(Gang);
   requeue(Gang, Gang.NotBefore);
 }
 
 void Scheduler::Core::erase(const JobId &Id) {
   const auto Found = Jobs.find(Id);
-  removeFrom(Waiting, Found->second.get());
+  removeFrom(Queue, Found->second.get());
   Jobs.erase(Found);
 }
 
-void Scheduler::Core::endJob(Job &Ended, ResultCode Code,
+void Scheduler::Core::endJob(Job &J, ResultCode Code,
                              const std::string &Detail) {
-  const JobId Id = Ended.Info.Id;
+  const JobId Id = J.Info.Id;
   Commands.emplace_back(EndJob{Id, Code, Detail});
   erase(Id);
 }
@@ -194,18 +200,19 @@
   const auto Found = Jobs.find(Id);
   if (Found == Jobs.end())
     return;
-  Job &Which = *Found->second;
-  Which.CancelRequested = true;
-  switch (Which.Phase) {
-  case JobPhase::Planned:
-    unplan(Which);
+  Job &J = *Found->second;
+  J.CancelRequested = true;
+  switch (J.Phase) {
+  case JobPhase::Reserved:
+    cancelReservation(J);
     [[fallthrough]];
   case JobPhase::Queued:
-    endJob(Which, ResultCode::JobCancelled, "Cancelled before it ran.");
+    endJob(J, ResultCode::JobCancelled,
+           "The job was cancelled before it started.");
     break;
   case JobPhase::Starting:
   case JobPhase::Running:
-    stopGang(Which, StopReason::Cancelled, false, Milliseconds(0));
+    stopGang(J, StopReason::Cancelled, false, Milliseconds(0));
     break;
   case JobPhase::Stopping:
     break;
@@ -214,7 +221,7 @@
 
 void Scheduler::Core::gangStarted(const JobId &Id, Attempt Number,
                                   Instant Now) {
-  Job *Gang = lookUp(Id, Number);
+  Job *Gang = findAttempt(Id, Number);
   if (!Gang || Gang->Phase != JobPhase::Starting)
     return;
   Gang->Phase = JobPhase::Running;
@@ -223,12 +230,13 @@
 
 void Scheduler::Core::gangRefused(const JobId &Id, Attempt Number,
                                   const NodeId &, Instant Now) {
-  Job *Gang = lookUp(Id, Number);
+  Job *Gang = findAttempt(Id, Number);
   if (!Gang || Gang->Members.empty())
     return;
   release(*Gang);
   if (Gang->CancelRequested) {
-    endJob(*Gang, ResultCode::JobCancelled, "Cancelled before it ran.");
+    endJob(*Gang, ResultCode::JobCancelled,
+           "The job was cancelled before it started.");
     return;
   }
   requeue(*Gang, Now + RefusalBackoff);
@@ -236,11 +244,11 @@
 
 void Scheduler::Core::gangEnded(const JobId &Id, Attempt Number,
                                 const GangEnd &End, Instant Now) {
-  Job *Gang = lookUp(Id, Number);
+  Job *Gang = findAttempt(Id, Number);
   if (!Gang || Gang->Members.empty())
     return;
   if (End.Result == GangResult::Succeeded) {
-    Learned.learn(Gang->Info, End.Progress);
+    RunTimes.addSample(Gang->Info, End.Progress);
     endQuarantine(Gang->Members);
     release(*Gang);
     erase(Id);
@@ -248,22 +256,23 @@
   }
   const bool WasStarted = Gang->Phase != JobPhase::Starting;
   if (End.Result == GangResult::Failed && WasStarted)
-    blame(*Gang, End.Blamed, Now);
+    countWorkerFailure(*Gang, End.Blamed, Now);
   release(*Gang);
-  Gang->Kept = std::max(Gang->Kept, End.Progress);
+  Gang->CheckpointedRun = std::max(Gang->CheckpointedRun, End.Progress);
   if (Gang->CancelRequested)
-    endJob(*Gang, ResultCode::JobCancelled, "Cancelled while it ran.");
+    endJob(*Gang, ResultCode::JobCancelled,
+           "The job was cancelled while it was running.");
   else if (End.Result == GangResult::Failed)
     gangFailed(*Gang, End, Now);
   else
     gangStopped(*Gang, End, Now);
 }
 
-/// What succeeds on a worker shows that it is well.
+/// Ends the quarantine of workers on which a gang has succeeded.
 void Scheduler::Core::endQuarantine(const std::vector<Member> &Members) {
   bool Changed = false;
   for (const Member &Each : Members) {
-    if (!Health.succeeded(Each.Worker))
+    if (!Health.recordSuccess(Each.Worker))
       continue;
     Workers.setQuarantined(Each.Worker, false);
     Changed = true;
@@ -272,12 +281,12 @@
     workersChanged();
 }
 
-void Scheduler::Core::blame(const Job &Gang, const NodeId &Blamed,
-                            Instant Now) {
+void Scheduler::Core::countWorkerFailure(const Job &Gang, const NodeId &Blamed,
+                                         Instant Now) {
   WorkerIndex Index = 0;
   if (!Traits.Quarantines || !Workers.find(Blamed, Index))
     return;
-  if (!Health.failed(Index, Gang.Info.Id, Now))
+  if (!Health.recordFailure(Index, Gang.Info.Id, Now))
     return;
   Workers.setQuarantined(Index, true);
   workersChanged();
@@ -290,16 +299,16 @@
   if (!Gang.Info.Idempotent && End.MayHaveRun) {
     endJob(Gang, ResultCode::JobFailed,
            "A task failed on " + End.Blamed.str() +
-               "; a job that is not idempotent is not tried again.");
+               "; a job that is not idempotent is not retried.");
     return;
   }
-  if (Gang.FailedOn.size() >= WorkersToBlameJob ||
+  if (Gang.FailedOn.size() >= MaxDistinctFailedWorkers ||
       Gang.Failures >= MaxFailures) {
-    for (WorkerIndex Index : Health.jobWasAtFault(Gang.Info.Id))
+    for (WorkerIndex Index : Health.clearFailuresOf(Gang.Info.Id))
       Workers.setQuarantined(Index, false);
     workersChanged();
     endJob(Gang, ResultCode::JobFailed,
-           "It failed on " + std::to_string(Gang.FailedOn.size()) +
+           "The job failed on " + std::to_string(Gang.FailedOn.size()) +
                " different workers.");
     return;
   }
@@ -309,7 +318,7 @@
 void Scheduler::Core::gangStopped(Job &Gang, const GangEnd &End, Instant Now) {
   if (!Gang.Info.Idempotent && End.MayHaveRun && !End.Checkpointed) {
     endJob(Gang, ResultCode::JobOutcomeUnknown,
-           "It was stopped without a checkpoint after it had started.");
+           "The job was stopped without a checkpoint after it had started.");
     return;
   }
   requeue(Gang, Now);
@@ -323,17 +332,17 @@
   Job &Gang = *Found->second;
   if (Gang.Members.empty() || MemoryMbPerTask <= Gang.Need.MemoryMb)
     return;
-  // A job that uses more than it declared is reckoned by what it uses.
-  Workers.give(Gang.Members, Gang.Need);
+  // A job that uses more memory than declared is accounted with its usage.
+  Workers.deallocate(Gang.Members, Gang.Need);
   Gang.Need.MemoryMb = MemoryMbPerTask;
-  Workers.take(Gang.Members, Gang.Need);
+  Workers.allocate(Gang.Members, Gang.Need);
 }
 
 bool Scheduler::Core::canEverRun(const JobInfo &Info) const {
   const Demand Need = demandOf(Info);
-  for (const Group &Together : Workers.knownGroups(Info.Near)) {
+  for (const Group &InGroup : Workers.knownGroups(Info.Near)) {
     std::uint64_t Tasks = 0;
-    for (WorkerIndex I : Together)
+    for (WorkerIndex I : InGroup)
       Tasks += Cluster::tasksWhenEmpty(Workers.worker(I), Need);
     if (Tasks >= Need.Tasks)
       return true;
@@ -344,16 +353,16 @@
 bool Scheduler::Core::fitsNow(const JobInfo &Info) const {
   const Demand Need = demandOf(Info);
   std::vector<Member> Chosen;
-  const auto Room = [&](WorkerIndex I) {
-    const Worker &Which = Workers.worker(I);
-    return Which.usable() ? Which.Free.tasks(Need) : 0;
+  const auto Slots = [&](WorkerIndex I) {
+    const Worker &W = Workers.worker(I);
+    return W.usable() ? W.Free.tasksThatFit(Need) : 0;
   };
-  return Placement->choose(Workers, Need, Room, Chosen);
+  return Placement->choose(Workers, Need, Slots, Chosen);
 }
 
 SchedulerFigures Scheduler::Core::figures() const {
   SchedulerFigures Result;
-  Result.Queued = Waiting.size() + Planned.size();
+  Result.Queued = Queue.size() + Reservations.size();
   Result.Running = Jobs.size() - Result.Queued;
   Result.FreeAccelerators = Workers.freeAccelerators();
   Result.TotalAccelerators = Workers.totalAccelerators();
--- a/src/scheduler/SchedulerCore.h
+++ b/src/scheduler/SchedulerCore.h
@@ -1,13 +1,10 @@
-/// \file
-/// The state behind the public Scheduler.
-
 #ifndef BAOBABCOVE_SCHEDULER_SCHEDULERCORE_H
 #define BAOBABCOVE_SCHEDULER_SCHEDULERCORE_H
 
 #include "baobabcove/Scheduler.h"
 #include "scheduler/EvictionPlanner.h"
 #include "scheduler/PlacementPolicy.h"
-#include "scheduler/RunTimes.h"
+#include "scheduler/RunTimePredictor.h"
 #include "scheduler/WorkerHealth.h"
 
 #include <map>
@@ -15,18 +12,19 @@
 
 namespace baobabcove {
 
-/// What a policy does beyond placing.
+/// Decisions of a policy besides the placement.
 struct PolicyTraits {
   /// Starts work within its guarantee by reclaiming from borrowers.
   bool Reclaims = false;
-  /// Orders the queue by expected work instead of arrival.
+  /// Orders the queue by expected work instead of submission time.
   bool Ranks = false;
-  /// Stops gangs to make room for others that gain more.
+  /// Preempts gangs for pending ones that gain more.
   bool Evicts = false;
-  /// Keeps work away from workers that fail everything.
+  /// Places no gangs on workers on which different jobs fail.
   bool Quarantines = false;
 };
 
+/// Implementation of Scheduler.
 class Scheduler::Core {
 public:
   explicit Core(const SchedulerOptions &Options);
@@ -37,7 +35,7 @@
   void jobRunning(const JobInfo &Info, Attempt Number,
                   const std::vector<Placement> &Members, bool Borrowed,
                   Instant Started);
-  void attemptUsed(const JobId &Id, Attempt Last, Milliseconds Kept);
+  void attemptUsed(const JobId &Id, Attempt Last, Milliseconds CheckpointedRun);
   void jobCancelled(const JobId &Id);
   void gangStarted(const JobId &Id, Attempt Number, Instant Now);
   void gangRefused(const JobId &Id, Attempt Number, const NodeId &Refusing,
@@ -57,66 +55,74 @@
   Guarantees Guaranteed{Workers};
 
 private:
-  /// Demands that did not fit in the present pass. Capacity only shrinks
-  /// within a pass, so a demand at least as large need not be tried.
-  using Misfits = std::vector<Demand>;
+  /// Demands that did not fit in the current pass. Free capacity only shrinks
+  /// within a pass, so a demand that is at least as large is not tried.
+  using UnplaceableDemands = std::vector<Demand>;
 
-  Job *lookUp(const JobId &Id, Attempt Number);
-  void endJob(Job &Ended, ResultCode Code, const std::string &Detail);
+  Job *findAttempt(const JobId &Id, Attempt Number);
+  void endJob(Job &J, ResultCode Code, const std::string &Detail);
   void erase(const JobId &Id);
   void release(Job &Gang);
-  void requeue(Job &Again, Instant NotBefore);
-  void unplan(Job &Planned);
-  void reside(Job &Gang);
+  void requeue(Job &J, Instant NotBefore);
+  void cancelReservation(Job &Gang);
+  void addToWorkers(Job &Gang);
   void workersChanged();
   void gangFailed(Job &Gang, const GangEnd &End, Instant Now);
   void endQuarantine(const std::vector<Member> &Members);
-  void blame(const Job &Gang, const NodeId &Blamed, Instant Now);
+  void countWorkerFailure(const Job &Gang, const NodeId &Blamed, Instant Now);
   void gangStopped(Job &Gang, const GangEnd &End, Instant Now);
 
   void releaseQuarantined(Instant Now);
-  void startReady();
-  void claimPlanned(Instant Now);
-  void emptyDraining(Instant Now);
+  void startReadyReservations();
+  void claimForReservations(Instant Now);
+  void evictFromDraining(Instant Now);
   void endImpossible(Instant Now);
-  void rankWaiting(Instant Now);
-  double rankOf(const Job &Waits, Instant Now) const;
-  double areaOf(const Job &Which, Instant Now) const;
-  Milliseconds attained(const Job &Which, Instant Now) const;
-  bool aged(const Job &Waits, Instant Now) const;
-  void startWaiting(Instant Now);
-  bool tryOne(Job &Waits, Instant Now, Misfits &Tried);
-  bool tryGuaranteed(Job &Waits, Instant Now);
-  bool tryFree(Job &Waits, Misfits &Tried);
-  bool tryEvicting(Job &Waits, Instant Now);
-  bool tryCompacting(Job &Waits, Instant Now);
-  bool mayUse(const Job &Waits, WorkerIndex Index) const;
+  void rankQueue(Instant Now);
+  double rankOf(const Job &Pending, Instant Now) const;
+  /// Returns the expected remaining work in accelerator milliseconds.
+  double remainingWork(const Job &J, Instant Now) const;
+  /// Returns the run time that a job has completed, including the part saved by
+  /// its last checkpoint.
+  Milliseconds attained(const Job &J, Instant Now) const;
+  bool aged(const Job &Pending, Instant Now) const;
+  void startQueued(Instant Now);
+  bool tryStart(Job &Pending, Instant Now, UnplaceableDemands &Unplaceable);
+  bool tryGuarantee(Job &Pending, Instant Now);
+  bool tryFreeCapacity(Job &Pending, UnplaceableDemands &Unplaceable);
+  bool tryEviction(Job &Pending, Instant Now);
+  bool tryCompaction(Job &Pending, Instant Now);
+  bool mayUse(const Job &Pending, WorkerIndex Index) const;
   double reclaimCost(const Job &Victim, Instant Now) const;
-  double awaitCost(const Job &Victim, Instant Now) const;
-  double outrankCost(const Job &Victim, const Job &For, Instant Now) const;
+  double waitCost(const Job &Victim, Instant Now) const;
+  double outrankCost(const Job &Victim, const Job &Pending, Instant Now) const;
   void stopVictims(const std::vector<Job *> &Victims, StopReason Reason,
                    Milliseconds Deadline, Instant Now);
-  void hurryLeaving(WorkerIndex Index, Milliseconds Deadline, Instant Now);
+  void advanceStopDeadlines(WorkerIndex Index, Milliseconds Deadline,
+                            Instant Now);
   void stopGang(Job &Gang, StopReason Reason, bool Checkpoint,
                 Milliseconds Deadline);
-  void commit(Job &Waits, std::vector<Member> Members, bool Borrowed,
-              std::vector<CellUse> Uses);
-  void emitStart(Job &Ready);
+  /// Gives workers to a pending gang. Starts it, or reserves the workers when
+  /// gangs that are being stopped still occupy them.
+  void startOrReserve(Job &Pending, std::vector<Member> Members, bool Borrowed,
+                      std::vector<CellUse> Uses);
+  void emitStart(Job &J);
 
   std::unique_ptr<PlacementPolicy> Placement;
   PolicyTraits Traits;
-  RunTimes Learned;
+  RunTimePredictor RunTimes;
   WorkerHealth Health;
   std::unordered_map<JobId, std::unique_ptr<Job>> Jobs;
-  /// Queued jobs, best rank first as of the last ranking.
-  std::vector<Job *> Waiting;
-  std::vector<Job *> Planned;
-  EvictionPlanner::Residents OnWorker;
+  /// Queued jobs in the order of the last ranking, lowest rank first.
+  std::vector<Job *> Queue;
+  /// Jobs in phase Reserved, which wait for stopping gangs.
+  std::vector<Job *> Reservations;
+  EvictionPlanner::GangsByWorker GangsOnWorker;
   std::vector<Command> Commands;
   Instant LastRanked;
   std::uint64_t Reclaims = 0;
   std::uint64_t Compactions = 0;
-  std::size_t EvictionsTried = 0;
+  /// Evictions planned in the current pass.
+  std::size_t EvictionAttempts = 0;
 };
 
 } // namespace baobabcove
--- a/src/scheduler/SchedulerDecide.cpp
+++ b/src/scheduler/SchedulerDecide.cpp
@@ -7,42 +7,49 @@
 
 namespace {
 
+/// Time between rankings while no job is added to the queue.
 constexpr Milliseconds RankPeriod{5000};
-/// A shape that no known worker can hold may wait this long for new workers.
-constexpr Milliseconds ImpossiblePatience{60000};
-constexpr std::size_t MaxMisfits = 64;
-constexpr std::size_t MaxEvictionsTried = 4;
-/// Only gangs with this many times the expected work left are stopped for a
-/// smaller one.
+/// A job whose shape the known workers cannot hold waits this long for new
+/// workers.
+constexpr Milliseconds ImpossibleShapeTimeout{60000};
+constexpr std::size_t MaxUnplaceableDemands = 64;
+/// Jobs for which one pass plans evictions or compaction.
+constexpr std::size_t MaxEvictionAttempts = 4;
+/// A gang is stopped for a smaller one only when its expected remaining work is
+/// this many times larger.
 constexpr double OutrankFactor = 2.5;
-/// A gang that began this recently is not stopped for a smaller one.
-constexpr Milliseconds LeastRun{5 * 60 * 1000};
-/// Waiting time after which a job's rank has halved.
+/// A gang that has run for less than this is not stopped for a smaller one.
+constexpr Milliseconds MinRunBeforeEviction{5 * 60 * 1000};
+/// Waiting time after which the rank of a job has halved.
 constexpr double RankHalfLifeMs = 4.0 * 3600 * 1000;
+/// Factors on the cost of stopping a gang that cannot be retried, and of
+/// cancelling a reservation.
 constexpr double NotIdempotentPenalty = 20;
 constexpr double ReservationPenalty = 50;
-/// Longest expected rest of a gang that a reservation waits for.
-constexpr Milliseconds LongestAwait{60 * 60 * 1000};
-/// Gangs that may hold a reservation while others end.
+/// Longest expected remaining run time of a gang that a reservation waits for.
+constexpr Milliseconds MaxReservationWait{60 * 60 * 1000};
+/// An aged job gets no reservation by eviction while this many exist.
 constexpr std::size_t MaxReservations = 2;
-constexpr Milliseconds LeastCompactionWait{10000};
+/// Waiting time after which compaction is considered for a job.
+constexpr Milliseconds MinCompactionWait{10000};
 
-bool atLeast(const Demand &Larger, const Demand &Than) {
+bool demandsAtLeast(const Demand &Larger, const Demand &Than) {
   return Larger.Tasks >= Than.Tasks &&
          Larger.Accelerators >= Than.Accelerators &&
          Larger.Cores >= Than.Cores && Larger.MemoryMb >= Than.MemoryMb &&
          Larger.Near == Than.Near;
 }
 
-/// The order to stop a gang among the commands of this pass, or null.
-StopGang *stopOf(std::vector<Command> &Commands, const JobId &Id) {
+/// Returns the command of this pass that stops the gang of a job, or null.
+StopGang *findStop(std::vector<Command> &Commands, const JobId &Id) {
   for (Command &Each : Commands)
     if (auto *Stop = std::get_if<StopGang>(&Each); Stop && Stop->Job == Id)
       return Stop;
   return nullptr;
 }
 
-std::vector<Member> merged(std::vector<Member> Members) {
+/// Merges entries of the same worker.
+std::vector<Member> mergedByWorker(std::vector<Member> Members) {
   std::sort(
       Members.begin(), Members.end(),
       [](const Member &L, const Member &R) { return L.Worker < R.Worker; });
@@ -61,163 +68,167 @@
 std::vector<Command> Scheduler::Core::decide(Instant Now) {
   if (Traits.Quarantines)
     releaseQuarantined(Now);
-  startReady();
+  startReadyReservations();
   if (Traits.Reclaims)
-    claimPlanned(Now);
-  emptyDraining(Now);
+    claimForReservations(Now);
+  evictFromDraining(Now);
   endImpossible(Now);
-  rankWaiting(Now);
-  startWaiting(Now);
+  rankQueue(Now);
+  startQueued(Now);
   std::vector<Command> Result;
   Result.swap(Commands);
   return Result;
 }
 
 void Scheduler::Core::releaseQuarantined(Instant Now) {
-  const std::vector<WorkerIndex> Freed = Health.released(Now);
-  for (WorkerIndex Index : Freed)
+  const std::vector<WorkerIndex> Released = Health.releaseExpired(Now);
+  for (WorkerIndex Index : Released)
     Workers.setQuarantined(Index, false);
-  if (!Freed.empty())
+  if (!Released.empty())
     workersChanged();
 }
 
-void Scheduler::Core::startReady() {
-  const std::vector<Job *> Before = Planned;
-  for (Job *Gang : Before) {
+void Scheduler::Core::startReadyReservations() {
+  const std::vector<Job *> Snapshot = Reservations;
+  for (Job *Gang : Snapshot) {
     const bool Ready = std::all_of(
         Gang->Members.begin(), Gang->Members.end(), [&](const Member &Each) {
-          return Workers.worker(Each.Worker).Free.covered();
+          return Workers.worker(Each.Worker).Free.isNonNegative();
         });
     if (!Ready)
       continue;
-    Planned.erase(std::remove(Planned.begin(), Planned.end(), Gang),
-                  Planned.end());
+    Reservations.erase(
+        std::remove(Reservations.begin(), Reservations.end(), Gang),
+        Reservations.end());
     emitStart(*Gang);
   }
 }
 
-/// Gangs on a worker in graceful shutdown move on by checkpoint. One that is
-/// not idempotent is left to its end, as a failed checkpoint would lose it.
-void Scheduler::Core::emptyDraining(Instant Now) {
-  for (WorkerIndex Index = 0; Index < OnWorker.size(); ++Index) {
+/// Stops the gangs on draining workers with a checkpoint, so that they resume
+/// elsewhere. A job that is not idempotent runs to its end, since it would be
+/// lost if the checkpoint failed.
+void Scheduler::Core::evictFromDraining(Instant Now) {
+  for (WorkerIndex Index = 0; Index < GangsOnWorker.size(); ++Index) {
     if (!Workers.worker(Index).Present || !Workers.worker(Index).Info.Draining)
       continue;
-    for (Job *Gang : OnWorker[Index]) {
+    for (Job *Gang : GangsOnWorker[Index]) {
       if (Gang->Phase != JobPhase::Running || !Gang->Info.Idempotent)
         continue;
       stopGang(*Gang, StopReason::Drained, true,
                Options.PatientCheckpointDeadline);
-      Gang->StopBy = Now + Options.PatientCheckpointDeadline;
+      Gang->StopDeadline = Now + Options.PatientCheckpointDeadline;
     }
   }
 }
 
-/// A gang that waits as a borrower for others to leave at their leisure claims
-/// its workspace's guarantee as soon as that covers it, and keeps its workers
-/// when it cannot.
-void Scheduler::Core::claimPlanned(Instant Now) {
-  const std::vector<Job *> Before = Planned;
-  for (Job *Gang : Before) {
-    if (Gang->Phase != JobPhase::Planned || !Gang->Borrowed ||
+/// Converts reservations of borrowers into claims on the workspace's guarantee
+/// once that covers them, because a reservation waits for patient checkpoints.
+/// Restores the reservation when the claim is not possible.
+void Scheduler::Core::claimForReservations(Instant Now) {
+  const std::vector<Job *> Snapshot = Reservations;
+  for (Job *Gang : Snapshot) {
+    if (Gang->Phase != JobPhase::Reserved || !Gang->Borrowed ||
         !Guaranteed.covers(Gang->Info.Workspace, Gang->Need))
       continue;
-    std::vector<Member> Held = Gang->Members;
-    removeFrom(Planned, Gang);
+    std::vector<Member> OldMembers = Gang->Members;
+    removeFrom(Reservations, Gang);
     release(*Gang);
-    if (!tryGuaranteed(*Gang, Now))
-      commit(*Gang, std::move(Held), true, {});
+    if (!tryGuarantee(*Gang, Now))
+      startOrReserve(*Gang, std::move(OldMembers), true, {});
   }
 }
 
 void Scheduler::Core::endImpossible(Instant Now) {
-  const std::vector<Job *> Before = Waiting;
-  for (Job *Waits : Before) {
-    if (!Waits->Impossible)
+  const std::vector<Job *> Snapshot = Queue;
+  for (Job *Pending : Snapshot) {
+    if (!Pending->Impossible)
       continue;
-    Waits->Impossible = !canEverRun(Waits->Info);
-    if (Waits->Impossible && Now >= Waits->ImpossibleSince + ImpossiblePatience)
-      endJob(*Waits, ResultCode::ShapeImpossible,
-             "No set of known workers can hold the shape.");
+    Pending->Impossible = !canEverRun(Pending->Info);
+    if (Pending->Impossible &&
+        Now >= Pending->ImpossibleSince + ImpossibleShapeTimeout)
+      endJob(*Pending, ResultCode::ShapeImpossible,
+             "The known workers cannot hold the shape of the job.");
   }
 }
 
-Milliseconds Scheduler::Core::attained(const Job &Which, Instant Now) const {
-  if (Which.Phase != JobPhase::Running && Which.Phase != JobPhase::Stopping)
-    return Which.Kept;
-  return Which.Kept + (Now - Which.Started);
+Milliseconds Scheduler::Core::attained(const Job &J, Instant Now) const {
+  if (J.Phase != JobPhase::Running && J.Phase != JobPhase::Stopping)
+    return J.CheckpointedRun;
+  return J.CheckpointedRun + (Now - J.Started);
 }
 
-double Scheduler::Core::areaOf(const Job &Which, Instant Now) const {
-  const Milliseconds Had = attained(Which, Now);
-  const Milliseconds Whole = Learned.predict(Which.Info, Had);
-  return static_cast<double>((Whole - Had).count()) *
-         static_cast<double>(Which.Need.totalAccelerators());
+double Scheduler::Core::remainingWork(const Job &J, Instant Now) const {
+  const Milliseconds Attained = attained(J, Now);
+  const Milliseconds Expected = RunTimes.predict(J.Info, Attained);
+  return static_cast<double>((Expected - Attained).count()) *
+         static_cast<double>(J.Need.totalAccelerators());
 }
 
-bool Scheduler::Core::aged(const Job &Waits, Instant Now) const {
-  return Now - Waits.Info.Submitted >= Options.AgeLimit;
+bool Scheduler::Core::aged(const Job &Pending, Instant Now) const {
+  return Now - Pending.Info.Submitted >= Options.AgeLimit;
 }
 
-double Scheduler::Core::rankOf(const Job &Waits, Instant Now) const {
-  // Aged jobs go first, the oldest before all; then urgent ones; then the
-  // least expected work, which counts for less the longer it has waited.
+double Scheduler::Core::rankOf(const Job &Pending, Instant Now) const {
+  // Jobs over the age limit go first, oldest first; then urgent jobs; then
+  // those with the least expected work, discounted by the waiting time.
   const double Waited =
-      static_cast<double>((Now - Waits.Info.Submitted).count());
-  if (aged(Waits, Now))
+      static_cast<double>((Now - Pending.Info.Submitted).count());
+  if (aged(Pending, Now))
     return -1e18 - Waited;
-  if (Waits.Info.Urgent)
+  if (Pending.Info.Urgent)
     return -1e17 - Waited;
-  const double Work = areaOf(Waits, Now);
-  const double Size = static_cast<double>(Waits.Need.totalAccelerators());
+  const double Work = remainingWork(Pending, Now);
+  const double Size = static_cast<double>(Pending.Need.totalAccelerators());
   const double Width = std::pow(Size, 2 * (1 - Options.CompletionWeight));
   return Work / Width / (1 + Waited / RankHalfLifeMs);
 }
 
-void Scheduler::Core::rankWaiting(Instant Now) {
+void Scheduler::Core::rankQueue(Instant Now) {
   if (LastRanked != Instant() && Now - LastRanked < RankPeriod)
     return;
   LastRanked = Now;
-  for (Job *Waits : Waiting)
-    Waits->Rank = Traits.Ranks
-                      ? rankOf(*Waits, Now)
-                      : static_cast<double>(
-                            Waits->Info.Submitted.time_since_epoch().count());
-  std::sort(Waiting.begin(), Waiting.end(), [](const Job *L, const Job *R) {
+  for (Job *Pending : Queue)
+    Pending->Rank =
+        Traits.Ranks ? rankOf(*Pending, Now)
+                     : static_cast<double>(
+                           Pending->Info.Submitted.time_since_epoch().count());
+  std::sort(Queue.begin(), Queue.end(), [](const Job *L, const Job *R) {
     return L->Rank != R->Rank ? L->Rank < R->Rank : L->Info.Id < R->Info.Id;
   });
 }
 
-void Scheduler::Core::startWaiting(Instant Now) {
-  Misfits Tried;
-  EvictionsTried = 0;
-  std::vector<Job *> Left;
-  std::vector<Job *> Before;
-  Before.swap(Waiting);
-  for (std::size_t I = 0; I < Before.size(); ++I) {
-    Job *Waits = Before[I];
-    if (Waits->NotBefore > Now || Waits->Impossible ||
-        !tryOne(*Waits, Now, Tried))
-      Left.push_back(Waits);
+void Scheduler::Core::startQueued(Instant Now) {
+  UnplaceableDemands Unplaceable;
+  EvictionAttempts = 0;
+  std::vector<Job *> StillQueued;
+  std::vector<Job *> Snapshot;
+  Snapshot.swap(Queue);
+  for (std::size_t I = 0; I < Snapshot.size(); ++I) {
+    Job *Pending = Snapshot[I];
+    if (Pending->NotBefore > Now || Pending->Impossible ||
+        !tryStart(*Pending, Now, Unplaceable))
+      StillQueued.push_back(Pending);
   }
-  Waiting.insert(Waiting.begin(), Left.begin(), Left.end());
+  Queue.insert(Queue.begin(), StillQueued.begin(), StillQueued.end());
 }
 
-bool Scheduler::Core::tryOne(Job &Waits, Instant Now, Misfits &Tried) {
-  if (Traits.Reclaims && tryGuaranteed(Waits, Now))
+bool Scheduler::Core::tryStart(Job &Pending, Instant Now,
+                               UnplaceableDemands &Unplaceable) {
+  if (Traits.Reclaims && tryGuarantee(Pending, Now))
     return true;
-  if (tryFree(Waits, Tried))
+  if (tryFreeCapacity(Pending, Unplaceable))
     return true;
-  if (!Traits.Evicts || EvictionsTried >= MaxEvictionsTried)
+  if (!Traits.Evicts || EvictionAttempts >= MaxEvictionAttempts)
     return false;
-  ++EvictionsTried;
-  return tryEvicting(Waits, Now) || tryCompacting(Waits, Now);
+  ++EvictionAttempts;
+  return tryEviction(Pending, Now) || tryCompaction(Pending, Now);
 }
 
-bool Scheduler::Core::mayUse(const Job &Waits, WorkerIndex Index) const {
-  const Worker &Which = Workers.worker(Index);
-  if (!Which.usable())
+bool Scheduler::Core::mayUse(const Job &Pending, WorkerIndex Index) const {
+  const Worker &W = Workers.worker(Index);
+  if (!W.usable())
     return false;
-  return Waits.FailedOn.empty() || Waits.FailedOn.count(Which.Info.Id) == 0;
+  return Pending.FailedOn.empty() || Pending.FailedOn.count(W.Info.Id) == 0;
 }
 
 double Scheduler::Core::reclaimCost(const Job &Victim, Instant) const {
@@ -225,144 +236,154 @@
     return -1;
   const double Loss = static_cast<double>(Options.RestartCost.count()) *
                       static_cast<double>(Victim.Need.totalAccelerators());
-  // A reservation is given up last: the gang has waited long for it.
-  if (Victim.Phase == JobPhase::Planned)
+  // Cancel reservations last, because their gangs have waited long.
+  if (Victim.Phase == JobPhase::Reserved)
     return Loss * ReservationPenalty;
   if (Victim.Phase != JobPhase::Running)
     return -1;
   return Victim.Info.Idempotent ? Loss : Loss * NotIdempotentPenalty;
 }
 
-double Scheduler::Core::outrankCost(const Job &Victim, const Job &For,
+double Scheduler::Core::outrankCost(const Job &Victim, const Job &Pending,
                                     Instant Now) const {
-  if (aged(For, Now) && !Victim.Borrowed && Victim.Phase == JobPhase::Running)
-    return awaitCost(Victim, Now);
+  if (aged(Pending, Now) && !Victim.Borrowed &&
+      Victim.Phase == JobPhase::Running)
+    return waitCost(Victim, Now);
   const double Loss = reclaimCost(Victim, Now);
-  if (Loss < 0 || Victim.Phase == JobPhase::Planned || Victim.Protected ||
+  if (Loss < 0 || Victim.Phase == JobPhase::Reserved || Victim.Protected ||
       !Victim.Info.Idempotent)
     return -1;
-  if (aged(For, Now))
+  if (aged(Pending, Now))
     return Loss;
-  if (Victim.Info.Urgent || Now - Victim.Started < LeastRun)
+  if (Victim.Info.Urgent || Now - Victim.Started < MinRunBeforeEviction)
     return -1;
-  const double Own = areaOf(For, Now);
-  const double Other = areaOf(Victim, Now);
-  // Of several, the one with most work left suffers least from waiting.
-  return Other >= OutrankFactor * Own ? Loss * (1 + Own / Other) : -1;
+  const double PendingWork = remainingWork(Pending, Now);
+  const double VictimWork = remainingWork(Victim, Now);
+  // Among several victims, prefer the one with the most remaining work, which
+  // is delayed the least in proportion.
+  return VictimWork >= OutrankFactor * PendingWork
+             ? Loss * (1 + PendingWork / VictimWork)
+             : -1;
 }
 
-/// A gang within its guarantee is not stopped for an aged one, but may be
-/// waited for when it is expected to end soon.
-double Scheduler::Core::awaitCost(const Job &Victim, Instant Now) const {
-  const double Area = areaOf(Victim, Now);
-  const double Left =
-      Area / static_cast<double>(Victim.Need.totalAccelerators());
-  return Left <= static_cast<double>(LongestAwait.count()) ? Area : -1;
+/// Cost of waiting for a gang within its guarantee. Such a gang is not stopped
+/// for an aged job, but a reservation may wait for it when it is expected to
+/// end soon.
+double Scheduler::Core::waitCost(const Job &Victim, Instant Now) const {
+  const double Work = remainingWork(Victim, Now);
+  const double RemainingMs =
+      Work / static_cast<double>(Victim.Need.totalAccelerators());
+  return RemainingMs <= static_cast<double>(MaxReservationWait.count()) ? Work
+                                                                        : -1;
 }
 
-bool Scheduler::Core::tryGuaranteed(Job &Waits, Instant Now) {
-  if (!Guaranteed.covers(Waits.Info.Workspace, Waits.Need))
+bool Scheduler::Core::tryGuarantee(Job &Pending, Instant Now) {
+  if (!Guaranteed.covers(Pending.Info.Workspace, Pending.Need))
     return false;
-  const EvictionPlanner Planner(Workers, OnWorker);
+  const EvictionPlanner Planner(Workers, GangsOnWorker);
   const StopCost Cost = [&](const Job &Victim) {
     return reclaimCost(Victim, Now);
   };
-  const EvictionCost OnOne = [&](WorkerIndex Index, std::uint32_t Tasks) {
+  const EvictionCost WorkerCost = [&](WorkerIndex Index, std::uint32_t Tasks) {
     EvictionPlan Plan;
-    if (!mayUse(Waits, Index) ||
-        !Planner.onWorker(Index, Waits.Need, Tasks, Cost, Plan))
+    if (!mayUse(Pending, Index) ||
+        !Planner.planForWorker(Index, Pending.Need, Tasks, Cost, Plan))
       return -1.0;
     return Plan.Cost;
   };
   GuaranteedPlacement Chosen;
-  if (!Guaranteed.choose(Waits.Info.Workspace, Waits.Need, OnOne, Chosen))
+  if (!Guaranteed.choose(Pending.Info.Workspace, Pending.Need, WorkerCost,
+                         Chosen))
     return false;
-  const std::vector<Member> Members = merged(Chosen.Members);
-  const Milliseconds Deadline = Waits.Info.Urgent
+  const std::vector<Member> Members = mergedByWorker(Chosen.Members);
+  const Milliseconds Deadline = Pending.Info.Urgent
                                     ? Options.UrgentCheckpointDeadline
                                     : Options.CheckpointDeadline;
   for (const Member &Each : Members) {
     EvictionPlan Plan;
-    if (!Planner.onWorker(Each.Worker, Waits.Need, Each.Tasks, Cost, Plan))
+    if (!Planner.planForWorker(Each.Worker, Pending.Need, Each.Tasks, Cost,
+                               Plan))
       return false;
     Reclaims += Plan.Victims.size();
     stopVictims(Plan.Victims, StopReason::Reclaimed, Deadline, Now);
-    hurryLeaving(Each.Worker, Deadline, Now);
+    advanceStopDeadlines(Each.Worker, Deadline, Now);
   }
-  Guaranteed.bind(Chosen, Waits.Need);
-  commit(Waits, Members, false, std::move(Chosen.Uses));
+  Guaranteed.bind(Chosen, Pending.Need);
+  startOrReserve(Pending, Members, false, std::move(Chosen.Uses));
   return true;
 }
 
-bool Scheduler::Core::tryFree(Job &Waits, Misfits &Tried) {
-  const bool Hopeless =
-      std::any_of(Tried.begin(), Tried.end(), [&](const Demand &Misfit) {
-        return atLeast(Waits.Need, Misfit);
+bool Scheduler::Core::tryFreeCapacity(Job &Pending,
+                                      UnplaceableDemands &Unplaceable) {
+  const bool KnownUnplaceable = std::any_of(
+      Unplaceable.begin(), Unplaceable.end(), [&](const Demand &Failed) {
+        return demandsAtLeast(Pending.Need, Failed);
       });
-  if (Hopeless)
+  if (KnownUnplaceable)
     return false;
-  const RoomOnWorker Room = [&](WorkerIndex Index) -> std::uint32_t {
-    if (!mayUse(Waits, Index))
+  const WorkerTaskSlots Slots = [&](WorkerIndex Index) -> std::uint32_t {
+    if (!mayUse(Pending, Index))
       return 0;
-    return Workers.worker(Index).Free.tasks(Waits.Need);
+    return Workers.worker(Index).Free.tasksThatFit(Pending.Need);
   };
   std::vector<Member> Members;
-  if (Placement->choose(Workers, Waits.Need, Room, Members)) {
-    commit(Waits, std::move(Members), true, {});
+  if (Placement->choose(Workers, Pending.Need, Slots, Members)) {
+    startOrReserve(Pending, std::move(Members), true, {});
     return true;
   }
-  if (Waits.FailedOn.empty() && Tried.size() < MaxMisfits)
-    Tried.push_back(Waits.Need);
+  if (Pending.FailedOn.empty() && Unplaceable.size() < MaxUnplaceableDemands)
+    Unplaceable.push_back(Pending.Need);
   return false;
 }
 
-bool Scheduler::Core::tryEvicting(Job &Waits, Instant Now) {
-  if (aged(Waits, Now) && Planned.size() >= MaxReservations)
+bool Scheduler::Core::tryEviction(Job &Pending, Instant Now) {
+  if (aged(Pending, Now) && Reservations.size() >= MaxReservations)
     return false;
-  const EvictionPlanner Planner(Workers, OnWorker);
+  const EvictionPlanner Planner(Workers, GangsOnWorker);
   EvictionPlan Plan;
-  const auto Allowed = [&](WorkerIndex I) { return mayUse(Waits, I); };
+  const auto Allowed = [&](WorkerIndex I) { return mayUse(Pending, I); };
   const auto Cost = [&](const Job &Victim) {
-    return outrankCost(Victim, Waits, Now);
+    return outrankCost(Victim, Pending, Now);
   };
-  if (!Planner.forGang(Waits.Need, Allowed, Cost, Plan))
+  if (!Planner.planForGang(Pending.Need, Allowed, Cost, Plan))
     return false;
-  // A stop must not throw away more than the gang in question will use.
-  if (!aged(Waits, Now) && Plan.Cost > areaOf(Waits, Now))
+  // The evictions must not cost more than the pending gang's expected work.
+  if (!aged(Pending, Now) && Plan.Cost > remainingWork(Pending, Now))
     return false;
   stopVictims(Plan.Victims, StopReason::Outranked,
               Options.PatientCheckpointDeadline, Now);
-  commit(Waits, std::move(Plan.Members), true, {});
-  Waits.Protected = aged(Waits, Now);
+  startOrReserve(Pending, std::move(Plan.Members), true, {});
+  Pending.Protected = aged(Pending, Now);
   return true;
 }
 
-bool Scheduler::Core::tryCompacting(Job &Waits, Instant Now) {
-  const Milliseconds Waited = Now - Waits.Info.Submitted;
-  if (Waited < LeastCompactionWait ||
-      Workers.freeAccelerators() < Waits.Need.totalAccelerators())
+bool Scheduler::Core::tryCompaction(Job &Pending, Instant Now) {
+  const Milliseconds Waited = Now - Pending.Info.Submitted;
+  if (Waited < MinCompactionWait ||
+      Workers.freeAccelerators() < Pending.Need.totalAccelerators())
     return false;
-  const EvictionPlanner Planner(Workers, OnWorker);
+  const EvictionPlanner Planner(Workers, GangsOnWorker);
   EvictionPlan Plan;
-  const auto Allowed = [&](WorkerIndex I) { return mayUse(Waits, I); };
+  const auto Allowed = [&](WorkerIndex I) { return mayUse(Pending, I); };
   const auto Cost = [&](const Job &Victim) {
-    // Smaller gangs find other places; larger ones would wait in their turn.
-    if (Victim.Need.totalAccelerators() >= Waits.Need.totalAccelerators() ||
+    // Smaller gangs fit elsewhere; gangs of the same size or larger would have
+    // to wait themselves.
+    if (Victim.Need.totalAccelerators() >= Pending.Need.totalAccelerators() ||
         !Victim.Info.Idempotent)
       return -1.0;
     return reclaimCost(Victim, Now);
   };
-  if (!Planner.forGang(Waits.Need, Allowed, Cost, Plan))
+  if (!Planner.planForGang(Pending.Need, Allowed, Cost, Plan))
     return false;
-  // It pays when it throws away less than the free accelerators lose idle.
-  const double Idle = static_cast<double>(Waited.count()) *
-                      static_cast<double>(Waits.Need.totalAccelerators());
-  if (Plan.Cost > Idle)
+  // Compact only when that costs less than leaving the accelerators idle.
+  const double IdleLoss = static_cast<double>(Waited.count()) *
+                          static_cast<double>(Pending.Need.totalAccelerators());
+  if (Plan.Cost > IdleLoss)
     return false;
   Compactions += Plan.Victims.size();
   stopVictims(Plan.Victims, StopReason::Compacted,
               Options.PatientCheckpointDeadline, Now);
-  commit(Waits, std::move(Plan.Members), true, {});
+  startOrReserve(Pending, std::move(Plan.Members), true, {});
   return true;
 }
 
@@ -370,68 +391,70 @@
                                   StopReason Reason, Milliseconds Deadline,
                                   Instant Now) {
   for (Job *Victim : Victims) {
-    if (Victim->Phase == JobPhase::Planned) {
-      unplan(*Victim);
+    if (Victim->Phase == JobPhase::Reserved) {
+      cancelReservation(*Victim);
       continue;
     }
     if (!Victim->Borrowed)
       continue;
     stopGang(*Victim, Reason, true, Deadline);
-    Victim->StopBy = Now + Deadline;
+    Victim->StopDeadline = Now + Deadline;
   }
 }
 
-/// Gangs that leave at their leisure must now make way for a guarantee.
-void Scheduler::Core::hurryLeaving(WorkerIndex Index, Milliseconds Deadline,
-                                   Instant Now) {
-  for (Job *Each : OnWorker[Index]) {
-    if (Each->Phase != JobPhase::Stopping || Each->StopBy <= Now + Deadline)
+/// Brings forward the stop of gangs that were given a longer deadline, because
+/// a guarantee now needs their worker.
+void Scheduler::Core::advanceStopDeadlines(WorkerIndex Index,
+                                           Milliseconds Deadline, Instant Now) {
+  for (Job *Each : GangsOnWorker[Index]) {
+    if (Each->Phase != JobPhase::Stopping ||
+        Each->StopDeadline <= Now + Deadline)
       continue;
-    Each->StopBy = Now + Deadline;
-    const StopGang Sooner{Each->Info.Id, Each->Number, StopReason::Reclaimed,
-                          true, Deadline};
-    if (StopGang *Present = stopOf(Commands, Sooner.Job))
-      *Present = Sooner;
+    Each->StopDeadline = Now + Deadline;
+    const StopGang Earlier{Each->Info.Id, Each->Number, StopReason::Reclaimed,
+                           true, Deadline};
+    if (StopGang *Issued = findStop(Commands, Earlier.Job))
+      *Issued = Earlier;
     else
-      Commands.emplace_back(Sooner);
+      Commands.emplace_back(Earlier);
   }
 }
 
 void Scheduler::Core::stopGang(Job &Gang, StopReason Reason, bool Checkpoint,
                                Milliseconds Deadline) {
   Gang.Phase = JobPhase::Stopping;
-  Workers.setLeaving(Gang.Members, Gang.Need, true);
+  Workers.setBeingFreed(Gang.Members, Gang.Need, true);
   Commands.emplace_back(
       StopGang{Gang.Info.Id, Gang.Number, Reason, Checkpoint, Deadline});
 }
 
-void Scheduler::Core::commit(Job &Waits, std::vector<Member> Members,
-                             bool Borrowed, std::vector<CellUse> Uses) {
-  Waits.Members = std::move(Members);
-  Waits.Borrowed = Borrowed;
-  Waits.Uses = std::move(Uses);
-  Waits.Phase = JobPhase::Planned;
-  Workers.take(Waits.Members, Waits.Need);
-  reside(Waits);
+void Scheduler::Core::startOrReserve(Job &Pending, std::vector<Member> Members,
+                                     bool Borrowed, std::vector<CellUse> Uses) {
+  Pending.Members = std::move(Members);
+  Pending.Borrowed = Borrowed;
+  Pending.Uses = std::move(Uses);
+  Pending.Phase = JobPhase::Reserved;
+  Workers.allocate(Pending.Members, Pending.Need);
+  addToWorkers(Pending);
   const bool Ready = std::all_of(
-      Waits.Members.begin(), Waits.Members.end(), [&](const Member &Each) {
-        return Workers.worker(Each.Worker).Free.covered();
+      Pending.Members.begin(), Pending.Members.end(), [&](const Member &Each) {
+        return Workers.worker(Each.Worker).Free.isNonNegative();
       });
   if (Ready)
-    emitStart(Waits);
+    emitStart(Pending);
   else
-    Planned.push_back(&Waits);
+    Reservations.push_back(&Pending);
 }
 
-void Scheduler::Core::emitStart(Job &Ready) {
-  Ready.Phase = JobPhase::Starting;
-  Ready.Number = Attempt(Ready.Number.value() + 1);
+void Scheduler::Core::emitStart(Job &J) {
+  J.Phase = JobPhase::Starting;
+  J.Number = Attempt(J.Number.value() + 1);
   StartGang Start;
-  Start.Job = Ready.Info.Id;
-  Start.Number = Ready.Number;
-  Start.Borrowed = Ready.Borrowed;
-  Start.Resume = Ready.Kept;
-  for (const Member &Each : Ready.Members)
+  Start.Job = J.Info.Id;
+  Start.Number = J.Number;
+  Start.Borrowed = J.Borrowed;
+  Start.Resume = J.CheckpointedRun;
+  for (const Member &Each : J.Members)
     Start.Members.push_back({Workers.worker(Each.Worker).Info.Id, Each.Tasks});
   Commands.emplace_back(std::move(Start));
 }
--- a/src/scheduler/WorkerHealth.cpp
+++ b/src/scheduler/WorkerHealth.cpp
@@ -6,26 +6,28 @@
 
 namespace {
 
-constexpr std::size_t JobsToBlame = 2;
+/// Different failed jobs after which a worker is quarantined.
+constexpr std::size_t DistinctJobsBeforeQuarantine = 2;
 constexpr Milliseconds FirstQuarantine{10 * 60 * 1000};
 constexpr Milliseconds LongestQuarantine{8 * 3600 * 1000};
 
 } // namespace
 
-bool WorkerHealth::failed(WorkerIndex Worker, const JobId &Job, Instant Now) {
-  Record &Of = Records[Worker];
-  Of.FailedJobs.insert(Job);
-  if (Of.Quarantined || (!Of.Probation && Of.FailedJobs.size() < JobsToBlame))
+bool WorkerHealth::recordFailure(WorkerIndex Worker, const JobId &Job,
+                                 Instant Now) {
+  Record &R = Records[Worker];
+  R.FailedJobs.insert(Job);
+  if (R.Quarantined ||
+      (!R.Probation && R.FailedJobs.size() < DistinctJobsBeforeQuarantine))
     return false;
-  Of.Length = Of.Length.count() == 0
-                  ? FirstQuarantine
-                  : std::min(2 * Of.Length, LongestQuarantine);
-  Of.Until = Now + Of.Length;
-  Of.Quarantined = true;
+  R.Length = R.Length.count() == 0 ? FirstQuarantine
+                                   : std::min(2 * R.Length, LongestQuarantine);
+  R.Until = Now + R.Length;
+  R.Quarantined = true;
   return true;
 }
 
-bool WorkerHealth::succeeded(WorkerIndex Worker) {
+bool WorkerHealth::recordSuccess(WorkerIndex Worker) {
   const auto Found = Records.find(Worker);
   if (Found == Records.end())
     return false;
@@ -34,31 +36,31 @@
   return Ends;
 }
 
-std::vector<WorkerIndex> WorkerHealth::jobWasAtFault(const JobId &Job) {
-  std::vector<WorkerIndex> Freed;
-  for (auto &[Worker, Of] : Records) {
-    if (Of.FailedJobs.erase(Job) == 0 || !Of.Quarantined)
+std::vector<WorkerIndex> WorkerHealth::clearFailuresOf(const JobId &Job) {
+  std::vector<WorkerIndex> Released;
+  for (auto &[Worker, R] : Records) {
+    if (R.FailedJobs.erase(Job) == 0 || !R.Quarantined)
       continue;
-    if (Of.FailedJobs.size() >= (Of.Probation ? 1 : JobsToBlame))
+    if (R.FailedJobs.size() >= (R.Probation ? 1 : DistinctJobsBeforeQuarantine))
       continue;
-    Of.Quarantined = false;
-    Of.Length = Of.Probation ? Of.Length / 2 : Milliseconds(0);
-    Freed.push_back(Worker);
+    R.Quarantined = false;
+    R.Length = R.Probation ? R.Length / 2 : Milliseconds(0);
+    Released.push_back(Worker);
   }
-  return Freed;
+  return Released;
 }
 
-std::vector<WorkerIndex> WorkerHealth::released(Instant Now) {
-  std::vector<WorkerIndex> Freed;
-  for (auto &[Worker, Of] : Records) {
-    if (!Of.Quarantined || Now < Of.Until)
+std::vector<WorkerIndex> WorkerHealth::releaseExpired(Instant Now) {
+  std::vector<WorkerIndex> Released;
+  for (auto &[Worker, R] : Records) {
+    if (!R.Quarantined || Now < R.Until)
       continue;
-    Of.Quarantined = false;
-    Of.Probation = true;
-    Of.FailedJobs.clear();
-    Freed.push_back(Worker);
+    R.Quarantined = false;
+    R.Probation = true;
+    R.FailedJobs.clear();
+    Released.push_back(Worker);
   }
-  return Freed;
+  return Released;
 }
 
 void WorkerHealth::forget(WorkerIndex Worker) { Records.erase(Worker); }
--- a/src/scheduler/WorkerHealth.h
+++ b/src/scheduler/WorkerHealth.h
@@ -1,6 +1,3 @@
-/// \file
-/// Tells workers that fail everything apart from jobs that fail everywhere.
-
 #ifndef BAOBABCOVE_SCHEDULER_WORKERHEALTH_H
 #define BAOBABCOVE_SCHEDULER_WORKERHEALTH_H
 
@@ -13,25 +10,28 @@
 
 namespace baobabcove {
 
-/// Counts failures of different jobs on a worker since its last success.
+/// Tells faulty workers from faulty jobs by counting the different jobs that
+/// failed on a worker since its last success.
 class WorkerHealth {
 public:
-  /// A gang failed and blamed \p Worker. Returns true when the worker is to be
-  /// quarantined from now on.
-  bool failed(WorkerIndex Worker, const JobId &Job, Instant Now);
+  /// Records that a gang failed because of \p Worker. Returns true when this
+  /// starts a quarantine of the worker.
+  bool recordFailure(WorkerIndex Worker, const JobId &Job, Instant Now);
 
-  /// A gang succeeded on \p Worker. Returns true when that ends a quarantine.
-  bool succeeded(WorkerIndex Worker);
+  /// Records that a gang succeeded on \p Worker. Returns true when this ends a
+  /// quarantine.
+  bool recordSuccess(WorkerIndex Worker);
 
-  /// \p Job failed everywhere, so its failures say nothing of workers.
-  /// Returns the workers whose quarantine ends by that.
-  std::vector<WorkerIndex> jobWasAtFault(const JobId &Job);
+  /// Discards the failures of \p Job, which is considered faulty itself.
+  /// Returns the workers whose quarantine ends as a result.
+  std::vector<WorkerIndex> clearFailuresOf(const JobId &Job);
 
-  /// The workers whose quarantine ends by \p Now. They stay on probation: one
-  /// more failure brings a quarantine of twice the length.
-  std::vector<WorkerIndex> released(Instant Now);
+  /// Ends the quarantines that have expired by \p Now and returns their
+  /// workers. They stay on probation: one more failure starts a quarantine of
+  /// twice the length.
+  std::vector<WorkerIndex> releaseExpired(Instant Now);
 
-  /// Forgets a worker that was replaced.
+  /// Discards the record of a lost worker.
   void forget(WorkerIndex Worker);
 
   std::size_t quarantined() const;
