--- a/programs/policy_bench/Measures.cpp
+++ b/programs/policy_bench/Measures.cpp
@@ -1,4 +1,4 @@
-#include "FakeCell.h"
+#include "CellSimulator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// Target: a job that can run starts within this.
+/// A job that can run counts as starved when it starts later than this.
 constexpr Milliseconds StartTarget{24LL * 3600 * 1000};
+/// Accelerators from which a gang counts as large.
 constexpr std::uint32_t LargeGang = 16;
 
 double quantile(std::vector<double> Values, double Share) {
@@ -28,62 +29,67 @@
 
 } // namespace
 
-/// The greater of two bounds on the mean completion: every job alone, and the
-/// shortest remaining work first on one machine with all accelerators.
-double FakeCell::lowerBoundMean() const {
-  std::vector<double> Alone;
+/// Returns the greater of two lower bounds on the mean completion time: each
+/// job alone on an empty cell, and shortest remaining work first on one machine
+/// with all accelerators.
+double CellSimulator::lowerBoundMean() const {
+  std::vector<double> RunTimes;
   std::vector<std::pair<double, double>> Work;
-  const double Speed = static_cast<double>(Given.Workers.size()) * WorkerSize;
+  const double TotalAccelerators =
+      static_cast<double>(Input.Workers.size()) * WorkerSize;
   for (const auto &[Id, Job] : Jobs) {
     if (!Job.Succeeded)
       continue;
-    Alone.push_back(seconds(Job.Plan->Run));
+    RunTimes.push_back(seconds(Job.Plan->Run));
     Work.emplace_back(seconds(Job.Origin.time_since_epoch()),
-                      Alone.back() * sizeOf(Job.Plan->Info) / Speed);
+                      RunTimes.back() * sizeOf(Job.Plan->Info) /
+                          TotalAccelerators);
   }
   std::sort(Work.begin(), Work.end());
   std::priority_queue<std::pair<double, double>,
                       std::vector<std::pair<double, double>>, std::greater<>>
-      Shortest;
-  double Clock = 0;
+      ByRemaining;
+  double Time = 0;
   double Sum = 0;
   std::size_t Next = 0;
-  while (Next < Work.size() || !Shortest.empty()) {
-    if (Shortest.empty())
-      Clock = std::max(Clock, Work[Next].first);
-    for (; Next < Work.size() && Work[Next].first <= Clock; ++Next)
-      Shortest.push({Work[Next].second, Work[Next].first});
-    auto [Left, Submitted] = Shortest.top();
-    Shortest.pop();
-    const double Until = Next < Work.size() ? Work[Next].first : Clock + Left;
-    if (Clock + Left <= Until) {
-      Clock += Left;
-      Sum += Clock - Submitted;
+  while (Next < Work.size() || !ByRemaining.empty()) {
+    if (ByRemaining.empty())
+      Time = std::max(Time, Work[Next].first);
+    for (; Next < Work.size() && Work[Next].first <= Time; ++Next)
+      ByRemaining.push({Work[Next].second, Work[Next].first});
+    auto [Remaining, Submitted] = ByRemaining.top();
+    ByRemaining.pop();
+    const double Until =
+        Next < Work.size() ? Work[Next].first : Time + Remaining;
+    if (Time + Remaining <= Until) {
+      Time += Remaining;
+      Sum += Time - Submitted;
     } else {
-      Shortest.push({Left - (Until - Clock), Submitted});
-      Clock = Until;
+      ByRemaining.push({Remaining - (Until - Time), Submitted});
+      Time = Until;
     }
   }
-  const double Area = Work.empty() ? 0 : Sum / static_cast<double>(Work.size());
-  return std::max(mean(Alone), Area);
+  const double SharedMean =
+      Work.empty() ? 0 : Sum / static_cast<double>(Work.size());
+  return std::max(mean(RunTimes), SharedMean);
 }
 
-Measures FakeCell::measure() const {
+Measures CellSimulator::measure() const {
   Measures Result;
   std::vector<double> Completions;
   std::vector<double> Slowdowns;
   std::vector<double> LargeWaits;
   std::map<std::string, double> Counts;
-  double Last = 0;
+  double EndSeconds = 0;
   for (const auto &[Id, Job] : Jobs) {
     const Instant Submitted = Job.Origin;
     const bool Large = sizeOf(Job.Plan->Info) >= LargeGang;
-    const bool Runnable = !Job.Plan->Never && !Job.Cancelled;
+    const bool Runnable = !Job.Plan->AlwaysFails && !Job.Cancelled;
     if (Runnable && Large && Job.Started)
       LargeWaits.push_back(seconds(Job.FirstStart - Submitted));
     if (Runnable && (!Job.Started || Job.FirstStart - Submitted > StartTarget))
       ++Result.StarvedJobs;
-    Last = std::max(Last, seconds(Job.EndedAt.time_since_epoch()));
+    EndSeconds = std::max(EndSeconds, seconds(Job.EndedAt.time_since_epoch()));
     if (!Job.Succeeded) {
       Result.Failed += Job.Cancelled ? 0 : 1;
       continue;
@@ -97,27 +103,27 @@
     Slowdowns.push_back(Completions.back() /
                         std::max(60.0, seconds(Job.Plan->Run)));
   }
-  for (auto &[Name, Of] : Result.Classes)
-    Of = {Of.first / Counts[Name], Of.second / Counts[Name]};
+  for (auto &[Name, Sums] : Result.Classes)
+    Sums = {Sums.first / Counts[Name], Sums.second / Counts[Name]};
   Result.Stops = Stops;
   Result.MeanCompletion = mean(Completions);
   Result.P99Completion = quantile(Completions, 0.99);
   Result.SlowdownP50 = quantile(Slowdowns, 0.5);
   Result.SlowdownP99 = quantile(Slowdowns, 0.99);
-  Result.Fragmentation = AllFree > 0 ? StuckFree / AllFree : 0;
+  Result.Fragmentation = FreeTime > 0 ? FragmentedFreeTime / FreeTime : 0;
   Result.LargeGangWaitP99 = quantile(LargeWaits, 0.99);
   Result.Utilisation =
-      BusyTime / (Last * WorkerSize * double(Given.Workers.size()));
-  Result.Quarantined = QuarantineTime / Last;
+      BusyTime / (EndSeconds * WorkerSize * double(Input.Workers.size()));
+  Result.Quarantined = QuarantineTime / EndSeconds;
   Result.ReclaimP99 = quantile(GuaranteedWaits, 0.99);
   Result.UrgentP99 = quantile(UrgentWaits, 0.99);
   Result.LostAcceleratorHours = LostTime / 3600;
   Result.OverLowerBound = Result.MeanCompletion / lowerBoundMean();
   Result.DecisionP50Us = quantile(DecisionUs, 0.5);
   Result.DecisionP99Us = quantile(DecisionUs, 0.99);
-  Result.Reclaims = Policy.figures().Reclaims;
+  Result.Reclaims = JobScheduler.figures().Reclaims;
   Result.GuaranteeViolations = Violations;
-  Result.PartialGangs = Partial;
+  Result.PartialGangs = PartialGangs;
   return Result;
 }
 
--- a/programs/policy_bench/Measures.h
+++ b/programs/policy_bench/Measures.h
@@ -1,6 +1,3 @@
-/// \file
-/// The measures of one run.
-
 #ifndef BAOBABCOVE_POLICY_BENCH_MEASURES_H
 #define BAOBABCOVE_POLICY_BENCH_MEASURES_H
 
@@ -13,10 +10,10 @@
 
 namespace baobabcove::bench {
 
-/// Accelerators of a fake worker.
+/// Accelerators of a simulated worker.
 inline constexpr std::uint32_t WorkerSize = 8;
 
-/// Accelerators of a whole gang.
+/// Returns the accelerators of a whole gang.
 inline std::uint32_t sizeOf(const JobInfo &Info) {
   return Info.Tasks * Info.AcceleratorsPerTask;
 }
@@ -25,7 +22,8 @@
   return static_cast<double>(Duration.count()) / 1000;
 }
 
-/// What a run is measured by. Times are in seconds.
+/// Results of one simulation. Times are in seconds unless the name says
+/// otherwise.
 struct Measures {
   double MeanCompletion = 0;
   double P99Completion = 0;
@@ -34,7 +32,7 @@
   double Fragmentation = 0;
   double LargeGangWaitP99 = 0;
   double Utilisation = 0;
-  /// Workers in quarantine, on average.
+  /// Mean number of quarantined workers.
   double Quarantined = 0;
   double ReclaimP99 = 0;
   double UrgentP99 = 0;
@@ -48,8 +46,9 @@
   std::uint64_t StarvedJobs = 0;
   std::uint64_t Succeeded = 0;
   std::uint64_t Failed = 0;
-  /// Mean completion and mean run time of each class, and stops by reason.
+  /// Mean completion time and mean run time of each class.
   std::map<std::string, std::pair<double, double>> Classes;
+  /// Number of stopped gangs by reason.
   std::map<std::string, std::uint64_t> Stops;
 };
 
--- a/programs/policy_bench/PolicyBench.cpp
+++ b/programs/policy_bench/PolicyBench.cpp
@@ -1,4 +1,4 @@
-#include "FakeCell.h"
+#include "CellSimulator.h"
 
 #include <algorithm>
 #include <iostream>
@@ -28,11 +28,11 @@
 using namespace baobabcove;
 using namespace baobabcove::bench;
 
-/// A measure and how the medians over seeds are formed.
+/// A printed measure and how it is aggregated over the seeds.
 struct Column {
   const char *Name;
   double (*Read)(const Measures &);
-  /// Counts of faults are summed, not halved by a median.
+  /// Counts of violations are summed, since a median would hide rare ones.
   bool Sum;
 };
 
@@ -68,27 +68,28 @@
   return Table;
 }
 
-std::vector<Measures> runAll(const std::string &Policy, const Faults &On) {
+std::vector<Measures> runSeeds(const std::string &Policy,
+                               const Faults &Enabled) {
   std::vector<Measures> Results;
-  const std::uint64_t First = absl::GetFlag(FLAGS_seed);
+  const std::uint64_t FirstSeed = absl::GetFlag(FLAGS_seed);
   for (std::uint64_t I = 0; I < absl::GetFlag(FLAGS_seeds); ++I) {
-    const Workload Given =
+    const Workload Input =
         makeWorkload(absl::GetFlag(FLAGS_deployment), absl::GetFlag(FLAGS_load),
-                     First + I, On);
+                     FirstSeed + I, Enabled);
     SchedulerOptions Options;
     Options.Policy = Policy;
     const double Weight = absl::GetFlag(FLAGS_weight);
-    Options.CompletionWeight = Weight < 0 ? Given.CompletionWeight : Weight;
-    Results.push_back(FakeCell(Given, Options, First + I).run());
+    Options.CompletionWeight = Weight < 0 ? Input.CompletionWeight : Weight;
+    Results.push_back(CellSimulator(Input, Options, FirstSeed + I).run());
   }
   return Results;
 }
 
-double combine(const Column &Of, const std::vector<Measures> &Results) {
+double aggregate(const Column &Measure, const std::vector<Measures> &Results) {
   std::vector<double> Values;
   double Sum = 0;
   for (const Measures &Each : Results) {
-    Values.push_back(Of.Read(Each));
+    Values.push_back(Measure.Read(Each));
     Sum += Values.back();
   }
   std::sort(Values.begin(), Values.end());
@@ -96,7 +97,7 @@
   const double Median = Values.size() % 2 == 1
                             ? Values[Half]
                             : (Values[Half - 1] + Values[Half]) / 2;
-  return Of.Sum ? Sum : Median;
+  return Measure.Sum ? Sum : Median;
 }
 
 void print(const std::string &Policy, const std::vector<Measures> &Results) {
@@ -107,11 +108,11 @@
   Line.set("faults", absl::GetFlag(FLAGS_faults));
   Line.set("seeds", Results.size());
   for (const Column &Each : columns())
-    Line.set(Each.Name, combine(Each, Results));
+    Line.set(Each.Name, aggregate(Each, Results));
   if (absl::GetFlag(FLAGS_classes)) {
-    for (const auto &[Name, Of] : Results[0].Classes) {
-      Line.set("completion_of_" + Name, Of.first);
-      Line.set("run_of_" + Name, Of.second);
+    for (const auto &[Name, Means] : Results[0].Classes) {
+      Line.set("completion_of_" + Name, Means.first);
+      Line.set("run_of_" + Name, Means.second);
     }
     for (const auto &[Reason, Count] : Results[0].Stops)
       Line.set("stops_" + Reason, Count);
@@ -125,9 +126,9 @@
   Poco::JSON::Object Line(Poco::JSON_PRESERVE_KEY_ORDER);
   Line.set("ratios", absl::GetFlag(FLAGS_compare));
   for (const Column &Each : columns()) {
-    const double Below = combine(Each, Right);
-    if (!Each.Sum && Below != 0)
-      Line.set(Each.Name, combine(Each, Left) / Below);
+    const double Denominator = aggregate(Each, Right);
+    if (!Each.Sum && Denominator != 0)
+      Line.set(Each.Name, aggregate(Each, Left) / Denominator);
   }
   Line.stringify(std::cout);
   std::cout << std::endl;
@@ -137,26 +138,26 @@
 
 int main(int ArgumentCount, char **Arguments) {
   absl::SetProgramUsageMessage(
-      "Plays a seeded workload in virtual time against fake workers.");
+      "Simulates the scheduler on a seeded workload in virtual time.");
   absl::ParseCommandLine(ArgumentCount, Arguments);
-  Faults On;
-  if (!readFaults(absl::GetFlag(FLAGS_faults), On)) {
+  Faults Enabled;
+  if (!readFaults(absl::GetFlag(FLAGS_faults), Enabled)) {
     std::cerr << "--faults names an unknown fault; see --help.\n";
     return 2;
   }
   const std::string Compare = absl::GetFlag(FLAGS_compare);
   if (Compare.empty()) {
     const std::string Policy = absl::GetFlag(FLAGS_policy);
-    print(Policy, runAll(Policy, On));
+    print(Policy, runSeeds(Policy, Enabled));
     return 0;
   }
   const std::size_t Comma = Compare.find(',');
   if (Comma == std::string::npos) {
-    std::cerr << "--compare takes two policies, A,B.\n";
+    std::cerr << "--compare expects two policies separated by a comma.\n";
     return 2;
   }
-  const auto Left = runAll(Compare.substr(0, Comma), On);
-  const auto Right = runAll(Compare.substr(Comma + 1), On);
+  const auto Left = runSeeds(Compare.substr(0, Comma), Enabled);
+  const auto Right = runSeeds(Compare.substr(Comma + 1), Enabled);
   print(Compare.substr(0, Comma), Left);
   print(Compare.substr(Comma + 1), Right);
   printRatios(Left, Right);
--- a/tests/policy/check-bound.sh
+++ b/tests/policy/check-bound.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Compares the packing policy with first fit over 20 seeds, or reads one of its
-# own measures, and fails when the figure is above the bound.
-# check-bound.sh BENCH DEPLOYMENT LOAD ratio|value MEASURE BOUND
+# Reads a measure of the packing policy over 20 seeds, or its ratio to that of
+# first fit, and fails when the figure is above the bound.
+# usage: check-bound.sh BENCH DEPLOYMENT LOAD ratio|value MEASURE BOUND
 set -euo pipefail
 bench="$1"
 deployment="$2"
