--- a/src/tasks/CallGate.cpp
+++ b/src/tasks/CallGate.cpp
@@ -14,17 +14,18 @@
                                  const std::string &Path,
                                  const std::string &Authorization) {
   if (!Config)
-    return failure(ResultCode::Starting, "No configuration is known yet.");
+    return failure(ResultCode::Starting,
+                   "No configuration has been loaded yet.");
   AdmittedCall Call;
   Call.Queue = findQueue(*Config, Host.substr(0, Host.find(':')), Path);
   if (!Call.Queue)
     return failure(ResultCode::UnknownPath,
-                   "No queue takes " + Host + Path + ".");
+                   "No queue is configured for " + Host + Path + ".");
   Call.Rest = Path.substr(Call.Queue->Prefix.size());
   if (!Call.Queue->Anonymous || !Authorization.empty()) {
     if (Age >= MaxAge)
       return failure(ResultCode::StoreUnavailable,
-                     "Keys cannot be checked: the configuration was last "
+                     "API keys cannot be verified: the configuration was last "
                      "confirmed " +
                          std::to_string(Age.count()) + " ms ago.");
     const bool HasKey = Authorization.rfind(Scheme, 0) == 0;
@@ -34,7 +35,7 @@
       Call.Workspace = Key->second;
     else if (!Call.Queue->Anonymous)
       return failure(HasKey ? ResultCode::WrongToken : ResultCode::MissingToken,
-                     "The key belongs to no workspace.");
+                     "The API key is not assigned to a workspace.");
   }
   Call.Config = std::move(Config);
   return Call;
--- a/src/tasks/CallGate.h
+++ b/src/tasks/CallGate.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which calls are let in: by queue, key and the age of the configuration.
+/// Admission of client calls by queue, API key and age of the configuration.
 
 #ifndef BAOBABCOVE_TASKS_CALLGATE_H
 #define BAOBABCOVE_TASKS_CALLGATE_H
@@ -14,21 +14,21 @@
 
 namespace baobabcove {
 
-/// A call that was let in.
+/// An admitted call.
 struct AdmittedCall {
   std::shared_ptr<const QueueConfig> Config;
   const QueueRule *Queue = nullptr;
-  /// Empty for a call without a key.
+  /// Empty for a call without an API key.
   WorkspaceId Workspace;
-  /// What follows the queue's prefix in the path.
+  /// The part of the path after the queue's prefix.
   std::string Rest;
 };
 
-/// Lets a call in. Fails with Starting before the first configuration, with
-/// UnknownPath when no queue takes it, with MissingToken or WrongToken, and
-/// with StoreUnavailable when \p Age, the time since the configuration was
-/// known to be the newest, is \p MaxAge or more: a key may have been taken
-/// away in the meantime.
+/// Admits a call. Fails with Starting before the first configuration is loaded,
+/// with UnknownPath when no queue matches, with MissingToken or WrongToken when
+/// the API key is absent or unknown, and with StoreUnavailable when \p Age, the
+/// time since the configuration was last confirmed to be the newest, is
+/// \p MaxAge or more: the key may have been revoked in the meantime.
 Expected<AdmittedCall> admitCall(std::shared_ptr<const QueueConfig> Config,
                                  Milliseconds Age, Milliseconds MaxAge,
                                  const std::string &Host,
--- a/src/tasks/ConfigKeeper.cpp
+++ b/src/tasks/ConfigKeeper.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Keys are honoured only while the configuration is known to be newer than
-/// the bound on revocation (5 s on the users' sites); a watch of a second
-/// proves it several times within that.
+/// API keys are accepted only while the age of the configuration is below the
+/// revocation bound (5 s on the production sites). Watches of one second
+/// confirm it several times within that bound.
 constexpr Milliseconds WatchWait{1000};
 
 } // namespace
@@ -18,8 +18,8 @@
                            std::string Key, ConfigReader Read)
     : Key(std::move(Key)), Read(std::move(Read)),
       Follower(Kv, std::move(Prefix), WatchWait,
-               {[this](const StoreChanges &All) { take(All); },
-                [this](const StoreChanges &News) { take(News); }}) {}
+               {[this](const StoreChanges &All) { apply(All); },
+                [this](const StoreChanges &News) { apply(News); }}) {}
 
 std::shared_ptr<const QueueConfig> ConfigKeeper::current() const {
   const std::lock_guard<std::mutex> Lock(Mutex);
@@ -27,10 +27,10 @@
 }
 
 Milliseconds ConfigKeeper::age() const {
-  return BootClock::now() - Follower.provenAt();
+  return BootClock::now() - Follower.confirmedAt();
 }
 
-void ConfigKeeper::take(const StoreChanges &Changes) {
+void ConfigKeeper::apply(const StoreChanges &Changes) {
   for (const StoreItem &Item : Changes.Items) {
     if (Item.Key != Key || Item.Revision == 0)
       continue;
--- a/src/tasks/ConfigKeeper.h
+++ b/src/tasks/ConfigKeeper.h
@@ -1,6 +1,3 @@
-/// \file
-/// The newest configuration, and how sure this process is that it is.
-
 #ifndef BAOBABCOVE_TASKS_CONFIGKEEPER_H
 #define BAOBABCOVE_TASKS_CONFIGKEEPER_H
 
@@ -14,28 +11,29 @@
 
 namespace baobabcove {
 
-/// Reads a configuration as the operators wrote it.
+/// Parses the text of a configuration.
 using ConfigReader = std::function<Expected<QueueConfig>(const std::string &)>;
 
-/// Follows the operators' configuration. A version never goes back. Thread-
-/// safe.
+/// Keeps the newest configuration from the store and tracks when it was last
+/// confirmed. Never returns to an older version. Thread-safe.
 class ConfigKeeper {
 public:
-  /// The configuration stands under \p Key, which starts with \p Prefix.
+  /// Watches \p Prefix and reads the configuration from \p Key, which must
+  /// start with \p Prefix.
   ConfigKeeper(TransactionalStore &Kv, std::string Prefix, std::string Key,
                ConfigReader Read);
 
   void start() { Follower.start(); }
   void stop() { Follower.stop(); }
 
-  /// Null before the first configuration.
+  /// Returns null before the first configuration.
   std::shared_ptr<const QueueConfig> current() const;
 
-  /// How long ago it was certain that no newer version existed.
+  /// Returns the time since it was last confirmed that no newer version exists.
   Milliseconds age() const;
 
 private:
-  void take(const StoreChanges &Changes);
+  void apply(const StoreChanges &Changes);
 
   const std::string Key;
   const ConfigReader Read;
--- a/src/tasks/CoordinatorRole.cpp
+++ b/src/tasks/CoordinatorRole.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-/// Between attempts while the store fails or another process was faster.
-constexpr Milliseconds RetryPause{200};
-/// How long the process sleeps while another one holds the role; a change of
-/// the key wakes it.
-constexpr Milliseconds IdlePause{5000};
-/// Renewals within one lease.
+/// Delay between attempts while the store fails or another process holds the
+/// key.
+constexpr Milliseconds RetryDelay{200};
+/// Wait while another process holds the role; a change of the role key ends the
+/// wait early.
+constexpr Milliseconds IdleWait{5000};
 constexpr int RenewalsPerLease = 4;
-/// The lease counts as run out this long before it does, for the time that
-/// an order takes to a worker.
+/// The lease is treated as expired this long before its end, to allow for the
+/// time that an order takes to reach a worker.
 constexpr Milliseconds LeaseMargin{200};
 
 } // namespace
@@ -49,7 +49,7 @@
 void CoordinatorRole::noteSeat(bool Taken) {
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    SeatTaken = Taken;
+    RoleTaken = Taken;
   }
   Wake.notify_all();
 }
@@ -68,11 +68,12 @@
     const std::lock_guard<std::mutex> Lock(Mutex);
     if (!Held)
       return;
-    LOG4CPLUS_WARN(logOf("role"),
-                   LogFields("role lost").add("epoch", Held->Number));
+    LOG4CPLUS_WARN(
+        logOf("role"),
+        LogFields("coordinator role lost").add("epoch", Held->Number));
     Held.reset();
     Lease = 0;
-    SeatTaken = false;
+    RoleTaken = false;
     ValidUntil = BootInstant{};
   }
   OnChange();
@@ -82,94 +83,94 @@
   std::unique_lock<std::mutex> Lock(Mutex);
   while (!Stopping) {
     Lock.unlock();
-    const Milliseconds Pause = step();
+    const Milliseconds Delay = advance();
     Lock.lock();
-    const bool Waiting = !Held && SeatTaken;
-    Wake.wait_for(Lock, Pause,
-                  [&] { return Stopping || (Waiting && !SeatTaken); });
+    const bool WaitsForRole = !Held && RoleTaken;
+    Wake.wait_for(Lock, Delay,
+                  [&] { return Stopping || (WaitsForRole && !RoleTaken); });
   }
-  const std::int64_t Ending = Lease;
+  const std::int64_t LeaseToRevoke = Lease;
   Held.reset();
   ValidUntil = BootInstant{};
   Lock.unlock();
-  if (!Ending)
+  if (!LeaseToRevoke)
     return;
-  const auto Ended = Kv.revoke(Ending);
+  const auto Ended = Kv.revoke(LeaseToRevoke);
   LOG4CPLUS_INFO(logOf("role"),
-                 LogFields("role given back")
+                 LogFields("coordinator role released")
                      .add("outcome", Ended ? "done" : Ended.error().Detail));
 }
 
-Milliseconds CoordinatorRole::step() {
-  bool Holds = false;
-  bool Free = false;
+Milliseconds CoordinatorRole::advance() {
+  bool HoldsRole = false;
+  bool RoleIsFree = false;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    Holds = Held.has_value();
-    Free = !SeatTaken;
+    HoldsRole = Held.has_value();
+    RoleIsFree = !RoleTaken;
   }
-  if (Holds)
-    return keep();
-  return Free ? acquire() : IdlePause;
+  if (HoldsRole)
+    return renew();
+  return RoleIsFree ? acquire() : IdleWait;
 }
 
 Milliseconds CoordinatorRole::acquire() {
   const BootInstant Sent = BootClock::now();
   const auto Granted = Kv.grant(Ttl);
   if (!Granted)
-    return RetryPause;
-  // A value of its own tells whose write it was when an answer is lost.
-  const std::string Own = Value + " " + randomName();
+    return RetryDelay;
+  // The random suffix identifies this write when the answer is lost.
+  const std::string UniqueValue = Value + " " + randomName();
   Transaction Change;
   Change.Conditions.push_back({keys::Coordinator, 0});
-  Change.Writes.push_back({keys::Coordinator, Own, *Granted});
+  Change.Writes.push_back({keys::Coordinator, UniqueValue, *Granted});
   const auto Result = Kv.commit(Change);
   std::int64_t Revision = Result ? Result->Revision.value_or(0) : 0;
   if (!Result && Result.error().Code == ResultCode::StoreAnswerLost)
     if (const auto Item = Kv.read(keys::Coordinator); Item && *Item)
-      Revision = (*Item)->Value == Own ? (*Item)->Revision : 0;
+      Revision = (*Item)->Value == UniqueValue ? (*Item)->Revision : 0;
   if (Revision == 0) {
-    // Somebody else was faster, as the follower of the store will tell.
+    // Another process wrote the key first; the store follower will report it.
     (void)Kv.revoke(*Granted);
-    return RetryPause;
+    return RetryDelay;
   }
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
     Lease = *Granted;
-    SeatTaken = true;
+    RoleTaken = true;
   }
-  take(Revision, Sent + Ttl - LeaseMargin);
+  setHeld(Revision, Sent + Ttl - LeaseMargin);
   return Ttl / RenewalsPerLease;
 }
 
-void CoordinatorRole::take(std::int64_t Revision, BootInstant Until) {
+void CoordinatorRole::setHeld(std::int64_t Revision, BootInstant Until) {
   ValidUntil = Until;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
     Held =
         CoordinatorTerm{Epoch(static_cast<std::uint64_t>(Revision)), Revision};
   }
-  LOG4CPLUS_INFO(logOf("role"), LogFields("role taken")
+  LOG4CPLUS_INFO(logOf("role"), LogFields("coordinator role acquired")
                                     .add("epoch", Revision)
                                     .add("lease_ms", Ttl.count()));
   OnChange();
 }
 
-Milliseconds CoordinatorRole::keep() {
-  std::int64_t Renewed = 0;
+Milliseconds CoordinatorRole::renew() {
+  std::int64_t LeaseToRenew = 0;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    Renewed = Lease;
+    LeaseToRenew = Lease;
   }
   const BootInstant Sent = BootClock::now();
-  const auto Result = Kv.renew(Renewed);
+  const auto Result = Kv.renew(LeaseToRenew);
   if (Result) {
     ValidUntil = Sent + Ttl - LeaseMargin;
     return Ttl / RenewalsPerLease;
   }
   if (Result.error().Code == ResultCode::CompareFailed)
     lose();
-  return RetryPause;
+  return RetryDelay;
 }
 
 } // namespace baobabcove
--- a/src/tasks/CoordinatorRole.h
+++ b/src/tasks/CoordinatorRole.h
@@ -1,6 +1,3 @@
-/// \file
-/// Takes, keeps and gives back the coordinator's role by a lease in the store.
-
 #ifndef BAOBABCOVE_TASKS_COORDINATORROLE_H
 #define BAOBABCOVE_TASKS_COORDINATORROLE_H
 
@@ -18,46 +15,47 @@
 
 namespace baobabcove {
 
-/// One term of the role.
+/// One uninterrupted period in which a process holds the role.
 struct CoordinatorTerm {
-  /// The store's revision of the role's key, which rises from term to term.
+  /// The store revision of the role key, which increases from term to term.
   Epoch Number;
   std::int64_t Revision = 0;
 };
 
-/// Thread-safe.
+/// Acquires, renews and releases the coordinator role, a key in the store that
+/// is bound to a lease. Thread-safe.
 class CoordinatorRole {
 public:
-  /// \p Value is what the key says of this process. \p OnChange is called
-  /// from the role's thread after the role was taken or lost.
+  /// \p Value is written to the role key and identifies this process.
+  /// \p OnChange is called from the role's thread after the role was acquired
+  /// or lost.
   CoordinatorRole(TransactionalStore &Kv, std::string Value, Milliseconds Ttl,
                   std::function<void()> OnChange);
   ~CoordinatorRole();
 
   void start();
-  /// Gives the role back, so that another process can take it at once.
+  /// Releases the role, so that another process can acquire it immediately.
   void stop();
 
-  /// Tells that the role's key has changed in the store: whether somebody
-  /// holds it.
+  /// Reports a change of the role key in the store: whether a process holds it.
   void noteSeat(bool Taken);
 
-  /// The term, if this process holds the role. It may not act on it while
-  /// the lease is unconfirmed.
+  /// Returns the term if this process holds the role. The caller must not act
+  /// on it unless isConfirmed() is true.
   std::optional<CoordinatorTerm> term() const;
 
-  /// Whether the lease surely runs now.
+  /// Whether the lease is certain to be valid now.
   bool isConfirmed() const;
 
-  /// Tells that a write under the role's condition was refused: it is lost.
+  /// Gives up the role after a write failed its condition on the role key.
   void lose();
 
 private:
   void run();
-  Milliseconds step();
+  Milliseconds advance();
   Milliseconds acquire();
-  Milliseconds keep();
-  void take(std::int64_t Revision, BootInstant ValidUntil);
+  Milliseconds renew();
+  void setHeld(std::int64_t Revision, BootInstant ValidUntil);
 
   TransactionalStore &Kv;
   const std::string Value;
@@ -67,7 +65,7 @@
   mutable std::mutex Mutex;
   std::condition_variable Wake;
   bool Stopping = false;
-  bool SeatTaken = true;
+  bool RoleTaken = true;
   std::optional<CoordinatorTerm> Held;
   std::int64_t Lease = 0;
   std::atomic<BootInstant> ValidUntil{BootInstant{}};
--- a/src/tasks/DurationBook.cpp
+++ b/src/tasks/DurationEstimator.cpp
@@ -1,22 +1,22 @@
-#include "tasks/DurationBook.h"
+#include "tasks/DurationEstimator.h"
 
 namespace baobabcove {
 
 namespace {
 
-/// The estimate counts as much as this many tasks that have ended.
+/// The caller's estimate counts as much as this many completed tasks.
 constexpr double EstimateWeight = 2;
 
 } // namespace
 
-void DurationBook::add(const std::string &Queue, Milliseconds Ran) {
+void DurationEstimator::add(const std::string &Queue, Milliseconds Ran) {
   Sums &Known = ByQueue[Queue];
   ++Known.Count;
   Known.RanMs += double(Ran.count());
 }
 
-Milliseconds DurationBook::expected(const std::string &Queue,
-                                    Milliseconds Estimate) const {
+Milliseconds DurationEstimator::expected(const std::string &Queue,
+                                         Milliseconds Estimate) const {
   const auto Known = ByQueue.find(Queue);
   if (Known == ByQueue.end())
     return Estimate;
--- a/src/tasks/JobCatalog.cpp
+++ b/src/tasks/JobCatalog.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// The id in \p Key when it stands under \p Prefix.
+/// Returns the job id in \p Key if \p Key starts with \p Prefix.
 std::optional<JobId> idUnder(const std::string &Prefix,
                              const std::string &Key) {
   if (Key.rfind(Prefix, 0) != 0)
@@ -29,7 +29,7 @@
         if (const auto Known = Entries.find(*Id); Known != Entries.end())
           Kept.insert(*Known);
     Entries = std::move(Kept);
-    Seat.reset();
+    Holder.reset();
   }
   apply(All);
   if (Listener)
@@ -37,7 +37,7 @@
 }
 
 void JobCatalog::apply(const StoreChanges &Changes) {
-  // Progress and cancels of a job may be listed before the job itself.
+  // Progress and cancellations may be listed before the job itself.
   for (const StoreItem &Item : Changes.Items)
     if (idUnder(keys::Jobs, Item.Key))
       applyItem(Item);
@@ -55,7 +55,7 @@
            Cancel && Item.Revision)
     markCancelled(*Cancel);
   else if (Item.Key == keys::Coordinator)
-    applySeat(Item);
+    applyRoleHolder(Item);
 }
 
 void JobCatalog::applyJob(const JobId &Id, const StoreItem &Item) {
@@ -66,7 +66,7 @@
   }
   auto Spec = std::make_shared<wire::TaskJobSpec>();
   if (!Spec->ParseFromString(Item.Value)) {
-    LOG4CPLUS_ERROR(logOf("jobs"), LogFields("stored job cannot be read")
+    LOG4CPLUS_ERROR(logOf("jobs"), LogFields("stored job cannot be parsed")
                                        .add("job", Id)
                                        .add("revision", Item.Revision));
     return;
@@ -113,12 +113,12 @@
     Listener->onCancel(Id);
 }
 
-void JobCatalog::applySeat(const StoreItem &Item) {
+void JobCatalog::applyRoleHolder(const StoreItem &Item) {
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    Seat.reset();
+    Holder.reset();
     if (Item.Revision)
-      Seat = CoordinatorSeat{Item.Value, Item.Revision};
+      Holder = RoleHolder{Item.Value, Item.Revision};
   }
   if (Listener)
     Listener->onSeatChange();
@@ -147,9 +147,9 @@
   return Entries.size();
 }
 
-std::optional<CoordinatorSeat> JobCatalog::seat() const {
+std::optional<RoleHolder> JobCatalog::seat() const {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  return Seat;
+  return Holder;
 }
 
 } // namespace baobabcove
--- a/src/tasks/JobCatalog.h
+++ b/src/tasks/JobCatalog.h
@@ -1,6 +1,3 @@
-/// \file
-/// A copy of all jobs in the store, for answering callers.
-
 #ifndef BAOBABCOVE_TASKS_JOBCATALOG_H
 #define BAOBABCOVE_TASKS_JOBCATALOG_H
 
@@ -16,20 +13,21 @@
 
 namespace baobabcove {
 
-/// What the catalog knows of one job.
-struct CatalogEntry : JobMarks {
+/// The state of one job in the catalog.
+struct CatalogEntry : JobFlags {
   std::shared_ptr<const wire::TaskJobSpec> Spec;
-  /// The store's revision of the accepted job.
+  /// Store revision of the accepted job.
   std::int64_t Revision = 0;
 };
 
-/// Who holds the coordinator's role, by the store.
-struct CoordinatorSeat {
+/// The holder of the coordinator role according to the store.
+struct RoleHolder {
   std::string Value;
   std::int64_t Revision = 0;
 };
 
-/// Told of jobs and cancels as they come in.
+/// Receives jobs, cancellations and changes of the role key as the catalog
+/// learns of them.
 class CatalogListener {
 public:
   virtual ~CatalogListener() = default;
@@ -38,37 +36,38 @@
   virtual void onSeatChange() = 0;
 };
 
-/// Thread-safe. Items that cannot be read are logged and left out.
+/// In-memory copy of all jobs in the store, for answering clients. Thread-safe.
+/// Records that cannot be parsed are logged and skipped.
 class JobCatalog {
 public:
-  /// \p Listener, which may be null, must outlive the catalog.
+  /// \p Listener may be null and must outlive the catalog.
   explicit JobCatalog(CatalogListener *Listener) : Listener(Listener) {}
 
-  /// Takes over all keys; jobs that are not among them are gone.
+  /// Replaces the contents with \p All; jobs that are not listed are removed.
   void replaceAll(const StoreChanges &All);
   void apply(const StoreChanges &Changes);
-  /// Adds a job that this process has just had accepted.
+  /// Adds a job that this process has just written to the store.
   void insert(std::shared_ptr<const wire::TaskJobSpec> Spec,
               std::int64_t Revision);
   void markCancelled(const JobId &Id);
 
   std::optional<CatalogEntry> find(const JobId &Id) const;
-  /// Jobs of \p Queue of which no task has started.
+  /// Returns the number of jobs of \p Queue of which no task has started.
   std::size_t waiting(const std::string &Queue) const;
   std::size_t size() const;
-  /// Nothing while nobody holds the role.
-  std::optional<CoordinatorSeat> seat() const;
+  /// Returns nothing while no process holds the role.
+  std::optional<RoleHolder> seat() const;
 
 private:
   void applyItem(const StoreItem &Item);
   void applyJob(const JobId &Id, const StoreItem &Item);
   void applyProgress(const JobId &Id, const StoreItem &Item);
-  void applySeat(const StoreItem &Item);
+  void applyRoleHolder(const StoreItem &Item);
 
   CatalogListener *Listener;
   mutable std::mutex Mutex;
   std::map<JobId, CatalogEntry> Entries;
-  std::optional<CoordinatorSeat> Seat;
+  std::optional<RoleHolder> Holder;
 };
 
 } // namespace baobabcove
--- a/src/tasks/JobIntake.cpp
+++ b/src/tasks/JobIntake.cpp
@@ -12,7 +12,7 @@
   return failure(ResultCode::UnknownJob, "There is no job " + Id.str() + ".");
 }
 
-const StoreItem *itemOf(const CommitResult &Result, const std::string &Key) {
+const StoreItem *findItem(const CommitResult &Result, const std::string &Key) {
   for (const StoreItem &Item : Result.Current)
     if (Item.Key == Key && Item.Revision)
       return &Item;
@@ -30,7 +30,7 @@
         ResultCode::StoreUnavailable,
         "The store has not answered for " +
             std::to_string(Kv.health().awayFor(BootClock::now()).count()) +
-            " ms; nothing was sent.");
+            " ms; the job was not stored.");
   Transaction Change;
   Change.Conditions.push_back({keys::job(Id), 0});
   Change.Writes.push_back({keys::job(Id), Spec.SerializeAsString(), 0});
@@ -41,16 +41,17 @@
     return {};
   }
   if (Result)
-    return {}; // The same id was accepted before.
+    return {}; // A job with this id was accepted before.
   if (Result.error().Code != ResultCode::StoreAnswerLost)
     return tl::unexpected<Error>(Result.error());
-  // The write may have been carried out, or may be later. Only finding the job
-  // settles it.
-  if (const auto Found = readBack(Id)) {
-    LOG4CPLUS_INFO(logOf("jobs"),
-                   LogFields("lost answer settled by reading back")
-                       .add("job", Id)
-                       .add("revision", Found->Revision));
+  // The write may have been applied or may still be applied. Only a read that
+  // finds the job resolves the unknown outcome.
+  if (const auto Found = readFromStore(Id)) {
+    LOG4CPLUS_INFO(
+        logOf("jobs"),
+        LogFields("unknown commit outcome resolved by reading the job")
+            .add("job", Id)
+            .add("revision", Found->Revision));
     return {};
   }
   return tl::unexpected<Error>(Result.error());
@@ -73,7 +74,7 @@
                              : Expected<std::optional<StoreItem>>();
     if (!Written || !*Written)
       return tl::unexpected<Error>(Result.error());
-  } else if (!Result->Revision && !itemOf(*Result, keys::cancel(Id))) {
+  } else if (!Result->Revision && !findItem(*Result, keys::cancel(Id))) {
     return unknownJob(Id);
   }
   Catalog.markCancelled(Id);
@@ -90,10 +91,10 @@
 Expected<CatalogEntry> JobIntake::find(const JobId &Id) {
   if (auto Known = Catalog.find(Id))
     return *Known;
-  return readBack(Id);
+  return readFromStore(Id);
 }
 
-Expected<CatalogEntry> JobIntake::readBack(const JobId &Id) {
+Expected<CatalogEntry> JobIntake::readFromStore(const JobId &Id) {
   const auto Item = Kv.read(keys::job(Id));
   if (!Item)
     return tl::unexpected<Error>(Item.error());
--- a/src/tasks/JobIntake.h
+++ b/src/tasks/JobIntake.h
@@ -1,6 +1,3 @@
-/// \file
-/// Accepts, cancels and shows jobs on behalf of callers.
-
 #ifndef BAOBABCOVE_TASKS_JOBINTAKE_H
 #define BAOBABCOVE_TASKS_JOBINTAKE_H
 
@@ -11,32 +8,35 @@
 
 namespace baobabcove {
 
-/// Thread-safe. Every call fails with StoreUnavailable when it surely had no
-/// effect, and with StoreAnswerLost when it may have had one.
+/// Accepts and cancels jobs for clients and reports their status. Thread-safe.
+/// Every call fails with StoreUnavailable if it is certain to have had no
+/// effect, and with StoreAnswerLost if its outcome is unknown.
 class JobIntake {
 public:
-  /// Both must outlive the intake.
+  /// Both references must outlive this object.
   JobIntake(TransactionalStore &Kv, JobCatalog &Catalog)
       : Kv(Kv), Catalog(Catalog) {}
 
-  /// Stores \p Spec, so that it will be run once however often it is handed
-  /// in. Succeeds for a job that was accepted before.
+  /// Stores \p Spec. Idempotent: a job is run once however often it is
+  /// submitted, and the call succeeds for a job that was accepted before.
   Expected<void> accept(const wire::TaskJobSpec &Spec);
 
-  /// Cancels a job; succeeds for one that has ended. Fails with UnknownJob.
+  /// Cancels a job. Succeeds for a job that has already ended; fails with
+  /// UnknownJob.
   Expected<void> cancel(const JobId &Id);
 
-  /// Fails with UnknownJob for one that the store does not hold either.
+  /// Returns the status of a job. Fails with UnknownJob if the store does not
+  /// hold it either.
   Expected<JobStatus> status(const JobId &Id);
 
-  /// How long the store has not answered.
+  /// Returns how long the store has been unreachable.
   Milliseconds storeAwayFor() const {
     return Kv.health().awayFor(BootClock::now());
   }
 
 private:
   Expected<CatalogEntry> find(const JobId &Id);
-  Expected<CatalogEntry> readBack(const JobId &Id);
+  Expected<CatalogEntry> readFromStore(const JobId &Id);
 
   TransactionalStore &Kv;
   JobCatalog &Catalog;
--- a/src/tasks/TaskBoard.cpp
+++ b/src/tasks/JobTracker.cpp
@@ -1,4 +1,4 @@
-#include "tasks/TaskBoard.h"
+#include "tasks/JobTracker.h"
 
 #include "base/Log.h"
 #include "base/LogFields.h"
@@ -9,40 +9,40 @@
 
 namespace {
 
-/// A task that was refused is tried again after this, by when the lists of
-/// the worker are up to date.
-constexpr Milliseconds RefusalPause{300};
-/// How long a worker that answers that it is unhealthy gets no new task.
-constexpr Milliseconds UnhealthyRest{1500};
-/// A run that the worker has listed and no longer lists, without an end, is
-/// barred and started again after this.
-constexpr Milliseconds VanishedPatience{1500};
+/// Delay before a refused task is placed again; by then the listing of the
+/// worker is up to date.
+constexpr Milliseconds RefusalRetryDelay{300};
+/// A worker that reports itself unhealthy gets no new task for this long.
+constexpr Milliseconds UnhealthyQuarantine{1500};
+/// A run that the worker has listed and then omits for this long without
+/// reporting its end is barred and started again.
+constexpr Milliseconds MissingRunTimeout{1500};
 
 log4cplus::Logger runLog() { return logOf("run"); }
 
 } // namespace
 
-NodeId nodeOf(const WorkerLife &Life) {
-  return NodeId(Life.str().substr(0, Life.str().find('/')));
+NodeId nodeOf(const WorkerIncarnation &Incarnation) {
+  return NodeId(Incarnation.str().substr(0, Incarnation.str().find('/')));
 }
 
-void TaskBoard::clear() {
+void JobTracker::clear() {
   Jobs.clear();
   Dirty.clear();
-  NotBefore.clear();
-  Acknowledged.clear();
-  Unkept.clear();
-  Kept.clear();
+  RetryNotBefore.clear();
+  AcknowledgedEnds.clear();
+  UnflushedCheckpoints.clear();
+  Reservations.clear();
 }
 
-void TaskBoard::addJob(std::shared_ptr<const wire::TaskJobSpec> Spec) {
+void JobTracker::addJob(std::shared_ptr<const wire::TaskJobSpec> Spec) {
   const JobId Id(Spec->id());
   const auto [Job, Added] = Jobs.try_emplace(Id, TaskJob(std::move(Spec)));
   if (!Added)
     return;
   for (const wire::StepSpec &Step : Job->second.spec().steps())
     LOG4CPLUS_INFO(logOf("jobs"),
-                   LogFields("step to run")
+                   LogFields("step added")
                        .add("job", Id)
                        .add("queue", Job->second.spec().queue())
                        .add("workspace", Job->second.spec().workspace())
@@ -58,11 +58,11 @@
                        .add("checkpointing", Step.checkpointing()));
   WorkSums &Sums = QueueWork[Job->second.spec().queue()];
   ++Sums.Jobs;
-  Sums.Sum += outlookOf(Job->second, 0, {}).Work;
+  Sums.Sum += forecastOf(Job->second, 0, {}).Work;
 }
 
-void TaskBoard::restore(const JobId &Id, const wire::TaskJobProgress &Stored,
-                        std::int64_t Revision) {
+void JobTracker::restore(const JobId &Id, const wire::TaskJobProgress &Stored,
+                         std::int64_t Revision) {
   const auto Found = Jobs.find(Id);
   if (Found == Jobs.end())
     return;
@@ -70,7 +70,7 @@
   Found->second.Revision = Revision;
 }
 
-void TaskBoard::cancel(const JobId &Id, const BoardTime &) {
+void JobTracker::cancel(const JobId &Id, const ClockReading &) {
   const auto Found = Jobs.find(Id);
   if (Found == Jobs.end() || Found->second.isOver())
     return;
@@ -79,12 +79,13 @@
   Dirty.insert(Id);
   for (std::size_t At = 0; At < Job.size(); ++At)
     if (Job.task(At).Phase == wire::TASK_PLACED)
-      Job.task(At).StopWanted = true;
+      Job.task(At).StopRequested = true;
   LOG4CPLUS_INFO(logOf("jobs"), LogFields("job cancelled").add("job", Id));
 }
 
-TaskState *TaskBoard::find(const std::string &Name, std::uint64_t Run,
-                           const WorkerLife &Life, Placed &At) {
+TaskState *JobTracker::findRun(const std::string &Name, std::uint64_t Run,
+                               const WorkerIncarnation &Incarnation,
+                               TaskRef &At) {
   const auto Parsed = parseTaskName(Name);
   const auto Job = Parsed ? Jobs.find(Parsed->Job) : Jobs.end();
   if (Job == Jobs.end())
@@ -93,67 +94,71 @@
   if (!Position)
     return nullptr;
   TaskState &Task = Job->second.task(*Position);
-  if (Task.Phase != wire::TASK_PLACED || Task.Run != Run || Task.Worker != Life)
+  if (Task.Phase != wire::TASK_PLACED || Task.Run != Run ||
+      Task.Worker != Incarnation)
     return nullptr;
   At = {&Job->second, *Position};
   return &Task;
 }
 
-void TaskBoard::takeReport(const wire::TaskReport &Report,
-                           const BoardTime &Now) {
-  const WorkerLife Life(Report.worker());
+void JobTracker::applyReport(const wire::TaskReport &Report,
+                             const ClockReading &Now) {
+  const WorkerIncarnation Incarnation(Report.worker());
   if (!Report.complete()) {
     if (Report.lapsed())
-      loseNode(NodeId(Report.node()), Now);
+      expireLeases(NodeId(Report.node()), Now);
     return;
   }
-  adoptLife(NodeId(Report.node()), Life);
-  takeRunning(Report, Life, Now);
-  takeEnds(Report, Life, Now);
-  takeRefusals(Report, Life, Now);
+  adoptIncarnation(NodeId(Report.node()), Incarnation);
+  applyRunning(Report, Incarnation, Now);
+  applyEnds(Report, Incarnation, Now);
+  applyRefusals(Report, Incarnation, Now);
 }
 
-void TaskBoard::adoptLife(const NodeId &Node, const WorkerLife &Life) {
+void JobTracker::adoptIncarnation(const NodeId &Node,
+                                  const WorkerIncarnation &Incarnation) {
   for (auto &[Id, Job] : Jobs) {
     if (Job.EndedMs)
       continue;
     for (std::size_t At = 0; At < Job.size(); ++At) {
       TaskState &Task = Job.task(At);
-      if (Task.Phase != wire::TASK_PLACED || Task.Worker == Life ||
+      if (Task.Phase != wire::TASK_PLACED || Task.Worker == Incarnation ||
           nodeOf(Task.Worker) != Node)
         continue;
-      // The life that held the run is over. A start that is still on its way
-      // could reach the new life, so the run is barred there first.
-      LOG4CPLUS_INFO(runLog(), LogFields("worker began a new life")
+      // The incarnation that held the run has ended. A start that is still in
+      // flight could reach the new incarnation, so the run is barred there
+      // first.
+      LOG4CPLUS_INFO(runLog(), LogFields("worker restarted")
                                    .add("task", toText(Job.name(At)))
                                    .add("run", Task.Run)
                                    .add("was", Task.Worker)
-                                   .add("now", Life));
-      Task.Worker = Life;
-      Task.Seen = false;
-      Task.StopWanted = true;
+                                   .add("now", Incarnation));
+      Task.Worker = Incarnation;
+      Task.Listed = false;
+      Task.StopRequested = true;
       Dirty.insert(Id);
     }
   }
 }
 
-void TaskBoard::takeRunning(const wire::TaskReport &Report,
-                            const WorkerLife &Life, const BoardTime &Now) {
+void JobTracker::applyRunning(const wire::TaskReport &Report,
+                              const WorkerIncarnation &Incarnation,
+                              const ClockReading &Now) {
   for (const wire::RunStatus &Run : Report.running()) {
-    Placed At{};
-    TaskState *Task = find(Run.task(), Run.run(), Life, At);
+    TaskRef At{};
+    TaskState *Task = findRun(Run.task(), Run.run(), Incarnation, At);
     if (!Task)
       continue;
-    if (!Task->Seen || Task->Percent != Run.percent())
-      Task->PercentAt = Now.Boot;
+    if (!Task->Listed || Task->Percent != Run.percent())
+      Task->PercentChangedAt = Now.Boot;
     Task->Percent = Run.percent();
-    // After a takeover it is not known when the run began.
+    // After a takeover the start time of the run is unknown.
     if (Task->PlacedAt == BootInstant{})
       Task->PlacedAt = Now.Boot;
-    Task->Seen = true;
-    Task->SeenAt = Now.Boot;
+    Task->Listed = true;
+    Task->LastListedAt = Now.Boot;
     if (!Run.checkpoint().empty())
-      keepCheckpoint(At, Run.checkpoint());
+      updateCheckpoint(At, Run.checkpoint());
   }
   const NodeId Node(Report.node());
   for (auto &[Id, Job] : Jobs) {
@@ -161,34 +166,37 @@
       continue;
     for (std::size_t At = 0; At < Job.size(); ++At) {
       TaskState &Task = Job.task(At);
-      if (Task.Phase == wire::TASK_PLACED && Task.Worker == Life && Task.Seen &&
-          !Task.StopWanted && Now.Boot - Task.SeenAt > VanishedPatience) {
-        LOG4CPLUS_WARN(runLog(), LogFields("run is no longer listed")
+      if (Task.Phase == wire::TASK_PLACED && Task.Worker == Incarnation &&
+          Task.Listed && !Task.StopRequested &&
+          Now.Boot - Task.LastListedAt > MissingRunTimeout) {
+        LOG4CPLUS_WARN(runLog(), LogFields("run missing from worker listing")
                                      .add("task", toText(Job.name(At)))
                                      .add("run", Task.Run)
-                                     .add("worker", Life));
-        Task.StopWanted = true;
+                                     .add("worker", Incarnation));
+        Task.StopRequested = true;
       }
     }
   }
 }
 
-void TaskBoard::takeEnds(const wire::TaskReport &Report, const WorkerLife &Life,
-                         const BoardTime &Now) {
-  std::uint64_t &Through = Acknowledged[Life];
+void JobTracker::applyEnds(const wire::TaskReport &Report,
+                           const WorkerIncarnation &Incarnation,
+                           const ClockReading &Now) {
+  std::uint64_t &Through = AcknowledgedEnds[Incarnation];
   for (const wire::RunEnd &End : Report.ends()) {
     if (End.number() <= Through)
       continue;
-    Placed At{};
-    if (find(End.task(), End.run(), Life, At))
-      takeEnd(End, At, Now);
+    TaskRef At{};
+    if (findRun(End.task(), End.run(), Incarnation, At))
+      applyEnd(End, At, Now);
     else if (End.ending() == wire::RUN_DONE)
-      takeStrayDone(End, Life);
+      applyStaleDone(End, Incarnation);
     Through = End.number();
   }
 }
 
-void TaskBoard::takeStrayDone(const wire::RunEnd &End, const WorkerLife &Life) {
+void JobTracker::applyStaleDone(const wire::RunEnd &End,
+                                const WorkerIncarnation &Incarnation) {
   const auto Name = parseTaskName(End.task());
   const auto Job = Name ? Jobs.find(Name->Job) : Jobs.end();
   const auto Position =
@@ -196,16 +204,16 @@
   if (!Position || Job->second.task(*Position).Phase == wire::TASK_DONE ||
       Job->second.step(*Position).long_running())
     return;
-  LOG4CPLUS_WARN(runLog(), LogFields("task was done by another run")
+  LOG4CPLUS_WARN(runLog(), LogFields("task completed by an earlier run")
                                .add("task", End.task())
                                .add("run", End.run())
                                .add("expected", Job->second.task(*Position).Run)
-                               .add("worker", Life));
-  finish({&Job->second, *Position});
+                               .add("worker", Incarnation));
+  completeTasks({&Job->second, *Position});
 }
 
-void TaskBoard::takeEnd(const wire::RunEnd &End, Placed At,
-                        const BoardTime &Now) {
+void JobTracker::applyEnd(const wire::RunEnd &End, TaskRef At,
+                          const ClockReading &Now) {
   TaskState &Task = At.Job->task(At.Task);
   const NodeId Node = nodeOf(Task.Worker);
   LOG4CPLUS_INFO(runLog(), LogFields("run ended")
@@ -215,11 +223,11 @@
                                .add("worker", Task.Worker)
                                .add("checkpoint", End.checkpoint()));
   if (!End.checkpoint().empty())
-    keepCheckpoint(At, End.checkpoint());
+    updateCheckpoint(At, End.checkpoint());
   const wire::StepSpec &Step = At.Job->step(At.Task);
   switch (End.ending()) {
   case wire::RUN_DONE:
-    Suspicion.noteSuccess(Node);
+    Quarantine.noteSuccess(Node);
     if (Task.Checkpoint.empty())
       Durations.add(
           At.Job->spec().queue(),
@@ -227,11 +235,11 @@
     if (Step.long_running())
       requeue(At, Now, Milliseconds(0));
     else
-      finish(At);
+      completeTasks(At);
     break;
   case wire::RUN_FAILED:
-    Suspicion.noteFailure(Node, At.Job->id(), Now.Boot);
-    fail(At, Now);
+    Quarantine.noteFailure(Node, At.Job->id(), Now.Boot);
+    recordFailure(At, Now);
     break;
   default:
     requeue(At, Now, Milliseconds(0));
@@ -239,25 +247,27 @@
   }
 }
 
-void TaskBoard::takeRefusals(const wire::TaskReport &Report,
-                             const WorkerLife &Life, const BoardTime &Now) {
+void JobTracker::applyRefusals(const wire::TaskReport &Report,
+                               const WorkerIncarnation &Incarnation,
+                               const ClockReading &Now) {
   for (const wire::RunRefusal &Refusal : Report.refusals()) {
-    Placed At{};
-    if (!find(Refusal.task(), Refusal.run(), Life, At))
+    TaskRef At{};
+    if (!findRun(Refusal.task(), Refusal.run(), Incarnation, At))
       continue;
     LOG4CPLUS_INFO(runLog(),
                    LogFields("run did not start")
                        .add("task", Refusal.task())
                        .add("run", Refusal.run())
                        .add("why", wire::RefusalReason_Name(Refusal.reason()))
-                       .add("worker", Life));
+                       .add("worker", Incarnation));
     if (Refusal.reason() == wire::REFUSED_UNHEALTHY)
-      Suspicion.suspect(NodeId(Report.node()), Now.Boot, UnhealthyRest);
-    requeue(At, Now, RefusalPause);
+      Quarantine.quarantine(NodeId(Report.node()), Now.Boot,
+                            UnhealthyQuarantine);
+    requeue(At, Now, RefusalRetryDelay);
   }
 }
 
-void TaskBoard::loseNode(const NodeId &Node, const BoardTime &Now) {
+void JobTracker::expireLeases(const NodeId &Node, const ClockReading &Now) {
   for (auto &[Id, Job] : Jobs) {
     if (Job.EndedMs)
       continue;
@@ -265,7 +275,7 @@
       const TaskState &Task = Job.task(At);
       if (Task.Phase != wire::TASK_PLACED || nodeOf(Task.Worker) != Node)
         continue;
-      LOG4CPLUS_INFO(runLog(), LogFields("lease of run has lapsed")
+      LOG4CPLUS_INFO(runLog(), LogFields("lease of run expired")
                                    .add("task", toText(Job.name(At)))
                                    .add("run", Task.Run)
                                    .add("worker", Task.Worker));
@@ -274,7 +284,7 @@
   }
 }
 
-std::set<NodeId> TaskBoard::busyNodes() const {
+std::set<NodeId> JobTracker::nodesWithRuns() const {
   std::set<NodeId> Nodes;
   for (const auto &[Id, Job] : Jobs)
     for (std::size_t At = 0; !Job.EndedMs && At < Job.size(); ++At)
@@ -283,7 +293,7 @@
   return Nodes;
 }
 
-std::vector<std::size_t> TaskBoard::members(Placed At) const {
+std::vector<std::size_t> JobTracker::gangMembers(TaskRef At) const {
   if (!At.Job->step(At.Task).gang())
     return {At.Task};
   const TaskName Name = At.Job->name(At.Task);
@@ -293,64 +303,66 @@
   return Members;
 }
 
-void TaskBoard::finish(Placed At) {
-  // One end of a gang's run stands for all of its members.
-  for (std::size_t Member : members(At)) {
+void JobTracker::completeTasks(TaskRef At) {
+  // The end of one member of a gang applies to all members.
+  for (std::size_t Member : gangMembers(At)) {
     TaskState &Task = At.Job->task(Member);
     Task.Phase = wire::TASK_DONE;
-    Task.StopWanted = false;
+    Task.StopRequested = false;
   }
   Dirty.insert(At.Job->id());
 }
 
-void TaskBoard::stopMembers(Placed At) {
-  for (std::size_t Member : members(At))
+void JobTracker::stopMembers(TaskRef At) {
+  for (std::size_t Member : gangMembers(At))
     if (TaskState &Task = At.Job->task(Member); Task.Phase == wire::TASK_PLACED)
-      Task.StopWanted = true;
+      Task.StopRequested = true;
 }
 
-void TaskBoard::requeue(Placed At, const BoardTime &Now, Milliseconds Pause) {
+void JobTracker::requeue(TaskRef At, const ClockReading &Now,
+                         Milliseconds Delay) {
   TaskState &Task = At.Job->task(At.Task);
   Task.Phase = wire::TASK_WAITING;
-  Task.Seen = false;
-  Task.StopWanted = false;
+  Task.Listed = false;
+  Task.StopRequested = false;
   Task.Percent = 0;
-  // The rest of a gang cannot go on without this member.
+  // The other members of a gang cannot continue without this one.
   stopMembers(At);
-  if (Pause.count() > 0)
-    NotBefore[toText(At.Job->name(At.Task))] = Now.Boot + Pause;
+  if (Delay.count() > 0)
+    RetryNotBefore[toText(At.Job->name(At.Task))] = Now.Boot + Delay;
   Dirty.insert(At.Job->id());
 }
 
-void TaskBoard::fail(Placed At, const BoardTime &Now) {
+void JobTracker::recordFailure(TaskRef At, const ClockReading &Now) {
   TaskJob &Job = *At.Job;
-  const bool Lasting = Job.step(At.Task).long_running();
-  // A gang fails as one; its first member counts for all.
-  TaskState &Counter = Job.task(members(At).front());
-  ++Counter.Failures;
+  const bool LongRunning = Job.step(At.Task).long_running();
+  // Failures of a gang are counted at its first member.
+  TaskState &FailureCounter = Job.task(gangMembers(At).front());
+  ++FailureCounter.Failures;
   requeue(At, Now, Milliseconds(0));
-  if (Lasting || Counter.Failures < Job.spec().max_attempts() || Job.isOver())
+  if (LongRunning || FailureCounter.Failures < Job.spec().max_attempts() ||
+      Job.isOver())
     return;
   Job.Failed = true;
   for (std::size_t Other = 0; Other < Job.size(); ++Other)
     if (Job.task(Other).Phase == wire::TASK_PLACED)
-      Job.task(Other).StopWanted = true;
+      Job.task(Other).StopRequested = true;
   LOG4CPLUS_INFO(logOf("jobs"), LogFields("job failed")
                                     .add("job", Job.id())
                                     .add("task", toText(Job.name(At.Task)))
-                                    .add("failures", Counter.Failures));
+                                    .add("failures", FailureCounter.Failures));
 }
 
-void TaskBoard::keepCheckpoint(Placed At, const std::string &Checkpoint) {
-  for (std::size_t Member : members(At)) {
+void JobTracker::updateCheckpoint(TaskRef At, const std::string &Checkpoint) {
+  for (std::size_t Member : gangMembers(At)) {
     TaskState &Task = At.Job->task(Member);
     if (Task.Checkpoint != Checkpoint)
-      Unkept.insert(At.Job->id());
+      UnflushedCheckpoints.insert(At.Job->id());
     Task.Checkpoint = Checkpoint;
   }
 }
 
-void TaskBoard::settle(const BoardTime &Now) {
+void JobTracker::finishJobs(const ClockReading &Now) {
   for (auto &[Id, Job] : Jobs) {
     if (Job.EndedMs)
       continue;
@@ -370,41 +382,42 @@
   }
 }
 
-wire::TaskOrders TaskBoard::ordersFor(const wire::TaskReport &Report) const {
-  const WorkerLife Life(Report.worker());
+wire::TaskOrders JobTracker::ordersFor(const wire::TaskReport &Report) const {
+  const WorkerIncarnation Incarnation(Report.worker());
   wire::TaskOrders Orders;
   Orders.set_worker(Report.worker());
   std::set<std::pair<std::string, std::uint64_t>> Known;
   for (const auto &[Id, Job] : Jobs) {
     for (std::size_t At = 0; !Job.EndedMs && At < Job.size(); ++At) {
       const TaskState &Task = Job.task(At);
-      if (Task.Phase != wire::TASK_PLACED || Task.Worker != Life)
+      if (Task.Phase != wire::TASK_PLACED || Task.Worker != Incarnation)
         continue;
       const std::string Name = toText(Job.name(At));
       Known.insert({Name, Task.Run});
-      if (Task.StopWanted) {
+      if (Task.StopRequested) {
         wire::RunKey &Stop = *Orders.add_stops();
         Stop.set_task(Name);
         Stop.set_run(Task.Run);
-      } else if (!Task.Seen) {
+      } else if (!Task.Listed) {
         wire::StartOrder &Start = *Orders.add_starts();
         Start.set_task(Name);
         Start.set_run(Task.Run);
         Start.set_payload(Job.spec().payload());
         Start.set_checkpoint(Task.Checkpoint);
-        Start.set_may_have_been_sent(Task.OrderedFrom != Report.agent_life());
+        Start.set_may_have_been_sent(Task.OrderedByAgent !=
+                                     Report.agent_life());
       }
     }
   }
-  // What runs without being placed here is left over and ends.
+  // Stops runs that the worker lists but that are not placed there.
   for (const wire::RunStatus &Run : Report.running())
     if (!Known.count({Run.task(), Run.run()})) {
       wire::RunKey &Stop = *Orders.add_stops();
       Stop.set_task(Run.task());
       Stop.set_run(Run.run());
     }
-  if (const auto Through = Acknowledged.find(Life);
-      Through != Acknowledged.end())
+  if (const auto Through = AcknowledgedEnds.find(Incarnation);
+      Through != AcknowledgedEnds.end())
     Orders.set_acknowledged_end(Through->second);
   return Orders;
 }
--- /dev/null
+++ b/src/tasks/JobTracker.h
@@ -0,0 +1,169 @@
+#ifndef BAOBABCOVE_TASKS_JOBTRACKER_H
+#define BAOBABCOVE_TASKS_JOBTRACKER_H
+
+#include "baobabcove/Clock.h"
+#include "tasks.pb.h"
+#include "tasks/DurationEstimator.h"
+#include "tasks/QueueConfig.h"
+#include "tasks/TaskJob.h"
+#include "tasks/TaskPlanner.h"
+#include "tasks/WorkerQuarantine.h"
+
+#include <map>
+#include <set>
+#include <string>
+#include <vector>
+
+namespace baobabcove {
+
+/// The current time on the boot clock and on the wall clock.
+struct ClockReading {
+  BootInstant Boot{};
+  std::int64_t UnixMs = 0;
+};
+
+/// The expected completion of one occurrence of a job.
+struct JobForecast {
+  /// Whether it can still complete within its objective, within the multiple of
+  /// the objective that counts as late, or within neither.
+  enum Timeliness { OnTime, Late, TooLate };
+  Timeliness Completion = OnTime;
+  /// How long it can wait before it falls into the next class.
+  Milliseconds Slack{0};
+  /// Core-seconds of all its work, and of the tasks that have not started yet.
+  double Work = 0;
+  double RemainingWork = 0;
+};
+
+/// Returns the node of a worker incarnation, which is "NODE/ID#STARTED_MS".
+NodeId nodeOf(const WorkerIncarnation &Incarnation);
+
+/// Holds all jobs of the cell with the state of their tasks, and applies
+/// reports, cancellations and plans to them. Performs no I/O. Not thread-safe.
+class JobTracker {
+public:
+  explicit JobTracker(double RemotePenalty = 3)
+      : RemotePenalty(RemotePenalty) {}
+
+  /// Removes all jobs and the state of their runs.
+  void clear();
+
+  void addJob(std::shared_ptr<const wire::TaskJobSpec> Spec);
+  void cancel(const JobId &Id, const ClockReading &Now);
+  void restore(const JobId &Id, const wire::TaskJobProgress &Stored,
+               std::int64_t Revision);
+
+  /// Applies a report from the agent of a worker.
+  void applyReport(const wire::TaskReport &Report, const ClockReading &Now);
+  /// Requeues all runs on workers of \p Node; their leases must be certain to
+  /// have expired.
+  void expireLeases(const NodeId &Node, const ClockReading &Now);
+
+  /// Marks jobs with new checkpoints as dirty, at most once per checkpoint
+  /// period.
+  void flushCheckpoints(const ClockReading &Now);
+
+  /// Stops stalled runs so that they restart on other workers, if little work
+  /// is lost, and quarantines their workers.
+  void moveStalledRuns(const ClockReading &Now);
+
+  /// Returns the nodes that have placed runs.
+  std::set<NodeId> nodesWithRuns() const;
+
+  /// Places waiting tasks and selects runs to preempt. \p Reports holds the
+  /// newest reports of the reachable agents.
+  void plan(const std::vector<wire::TaskReport> &Reports,
+            const QueueConfig &Config, const ClockReading &Now);
+
+  /// Completes jobs whose tasks are all done, and ends jobs whose last run is
+  /// gone.
+  void finishJobs(const ClockReading &Now);
+
+  /// Returns the orders for the worker of \p Report, without the epoch and the
+  /// duration of the grant.
+  wire::TaskOrders ordersFor(const wire::TaskReport &Report) const;
+
+  /// Jobs whose progress has changed since it was last written to the store.
+  std::set<JobId> &dirty() { return Dirty; }
+  std::map<JobId, TaskJob> &jobs() { return Jobs; }
+  const std::map<JobId, TaskJob> &jobs() const { return Jobs; }
+
+private:
+  /// Refers to one task of a job.
+  struct TaskRef {
+    TaskJob *Job;
+    std::size_t Task;
+  };
+
+  TaskState *findRun(const std::string &Name, std::uint64_t Run,
+                     const WorkerIncarnation &Incarnation, TaskRef &At);
+  void applyRunning(const wire::TaskReport &Report,
+                    const WorkerIncarnation &Incarnation,
+                    const ClockReading &Now);
+  void applyEnds(const wire::TaskReport &Report,
+                 const WorkerIncarnation &Incarnation, const ClockReading &Now);
+  void applyRefusals(const wire::TaskReport &Report,
+                     const WorkerIncarnation &Incarnation,
+                     const ClockReading &Now);
+  void adoptIncarnation(const NodeId &Node,
+                        const WorkerIncarnation &Incarnation);
+  void applyEnd(const wire::RunEnd &End, TaskRef At, const ClockReading &Now);
+  /// Marks a task as done although the reported run is not its newest. Once the
+  /// end is acknowledged the task must not be started again.
+  void applyStaleDone(const wire::RunEnd &End,
+                      const WorkerIncarnation &Incarnation);
+  void completeTasks(TaskRef At);
+  void requeue(TaskRef At, const ClockReading &Now, Milliseconds Delay);
+  void recordFailure(TaskRef At, const ClockReading &Now);
+  void updateCheckpoint(TaskRef At, const std::string &Checkpoint);
+  /// Returns all tasks of the gang of \p At, or only \p At if it is not part of
+  /// a gang.
+  std::vector<std::size_t> gangMembers(TaskRef At) const;
+  void stopMembers(TaskRef At);
+
+  PlanInput makePlanInput(const std::vector<wire::TaskReport> &Reports,
+                          const QueueConfig &Config, const ClockReading &Now);
+  void addUnits(TaskJob &Job, bool Guaranteed, const ClockReading &Now,
+                PlanInput &Input);
+  PlanUnit makeUnit(const TaskJob &Job, std::uint32_t Occurrence,
+                    std::uint32_t Step, bool Guaranteed,
+                    const ClockReading &Now) const;
+  std::set<JobId> guaranteedJobs(const QueueConfig &Config) const;
+  JobForecast forecastOf(const TaskJob &Job, std::uint32_t Occurrence,
+                         const ClockReading &Now) const;
+  /// Returns a lower rank for jobs with more value for the resources and time
+  /// that they need.
+  double rankOf(const TaskJob &Job, const JobForecast &Forecast) const;
+  void applyPlan(const TaskPlan &Plan, const PlanInput &Input,
+                 const ClockReading &Now);
+
+  double RemotePenalty;
+  std::map<JobId, TaskJob> Jobs;
+  std::set<JobId> Dirty;
+  /// Jobs with checkpoints that have not been stored yet.
+  std::set<JobId> UnflushedCheckpoints;
+  BootInstant CheckpointsFlushedAt{};
+  /// Earliest time at which a refused task may be placed again, by task name.
+  std::map<std::string, BootInstant> RetryNotBefore;
+  /// Number of the last end applied, by worker incarnation.
+  std::map<WorkerIncarnation, std::uint64_t> AcknowledgedEnds;
+  double completedMs(const TaskJob &Job, std::size_t At) const;
+
+  /// Workers reserved by the last plan, by the unit's first task.
+  std::map<std::pair<JobId, std::size_t>, std::vector<WorkerIncarnation>>
+      Reservations;
+  /// Number of reachable workers at the last plan.
+  std::size_t ReachableWorkers = 0;
+  DurationEstimator Durations;
+  /// Number and total size of the jobs of a queue; the size is in core-seconds.
+  struct WorkSums {
+    double Jobs = 0;
+    double Sum = 0;
+  };
+  std::map<std::string, WorkSums> QueueWork;
+  WorkerQuarantine Quarantine;
+};
+
+} // namespace baobabcove
+
+#endif // BAOBABCOVE_TASKS_JOBTRACKER_H
--- /dev/null
+++ b/src/tasks/JobTrackerPlanning.cpp
@@ -0,0 +1,349 @@
+/// \file
+/// The part of JobTracker that builds the planner's input and applies its plan.
+
+#include "base/Log.h"
+#include "base/LogFields.h"
+#include "tasks/JobTracker.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace baobabcove {
+
+namespace {
+
+/// Cores that one accelerator is equivalent to when lost work is valued, by the
+/// users' price list.
+constexpr double CoresPerAccelerator = 8;
+/// A unit that has waited for longer than this multiple of its duration may run
+/// away from its data, where it takes longer by the remote penalty.
+constexpr double RemoteWaitFactor = 2;
+
+/// A guaranteed job waits this long before runs are preempted for it, because
+/// short tasks end all the time. The stop, two writes to the store and the
+/// start take 0.7 s, so the total stays well below the bound of 2.7 s.
+constexpr Milliseconds ReclaimDelay{500};
+
+/// Rank base of guaranteed jobs, which precede all others in the order of their
+/// acceptance; Unix times in milliseconds are far smaller than its magnitude.
+constexpr double GuaranteedRank = -1e15;
+
+/// The value of a completed job to its owner: a fixed share, and a share that
+/// grows with its size relative to the mean of its queue, as the users define
+/// it.
+constexpr double MinValueShare = 0.3;
+constexpr double MaxRelativeSize = 4;
+/// Value of a late job relative to one on time: about a fifth by the users'
+/// definition.
+constexpr double LateValueShare = 0.2;
+/// The urgency of a job decreases with its slack beyond this value. The slack
+/// ends when the job becomes late or, if it is late already, when it loses
+/// nearly all of its value.
+constexpr Milliseconds UrgentSlack{2000};
+/// A job with more slack than this leaves some workers fully free for urgent
+/// tasks: those that need a whole worker can wait for 2 s at most.
+constexpr Milliseconds HoldbackMinSlack{5000};
+/// A job that has waited for this long with no task running ignores that
+/// reserve, so that it does not starve while resources are free.
+constexpr Milliseconds MaxHoldback{8000};
+constexpr double FullyFreeShareForUrgent = 0.16;
+/// Value of a job beyond the late limit, for having completed at all.
+constexpr double TooLateValueShare = 0.005;
+
+/// A job counts as late, but still of use, up to this multiple of its
+/// objective.
+constexpr double LateObjectiveFactor = 3;
+
+/// Returns the resources as an equivalent number of cores.
+double coreEquivalents(const Resources &Usage) {
+  return double(Usage.MilliCores) / 1000 +
+         CoresPerAccelerator * double(Usage.Accelerators);
+}
+
+log4cplus::Logger runLog() { return logOf("run"); }
+
+std::string stepKey(const TaskName &Name) {
+  return Name.Job.str() + "." + std::to_string(Name.Occurrence) + "." +
+         std::to_string(Name.Step);
+}
+
+} // namespace
+
+void JobTracker::plan(const std::vector<wire::TaskReport> &Reports,
+                      const QueueConfig &Config, const ClockReading &Now) {
+  PlanInput Input = makePlanInput(Reports, Config, Now);
+  if (Input.Units.empty())
+    return;
+  Input.Reservations = std::move(Reservations);
+  TaskPlan Plan = planTasks(Input);
+  Reservations = std::move(Plan.Reservations);
+  applyPlan(Plan, Input, Now);
+}
+
+PlanInput
+JobTracker::makePlanInput(const std::vector<wire::TaskReport> &Reports,
+                          const QueueConfig &Config, const ClockReading &Now) {
+  PlanInput Input;
+  ReachableWorkers = Reports.size();
+  std::map<WorkerIncarnation, std::size_t> Position;
+  for (const wire::TaskReport &Report : Reports) {
+    PlanWorker Worker;
+    Worker.Incarnation = WorkerIncarnation(Report.worker());
+    Worker.AgentIncarnation = Report.agent_life();
+    Worker.Service = ServiceName(Report.service());
+    Worker.Rack = RackName(Report.rack());
+    Worker.Labels.assign(Report.labels().begin(), Report.labels().end());
+    Worker.Capacity = {Report.milli_cores(), Report.memory_mb(),
+                       Report.accelerators()};
+    Worker.Free = Worker.Capacity;
+    Worker.AcceptsTasks =
+        !Report.draining() &&
+        !Quarantine.isQuarantined(NodeId(Report.node()), Now.Boot);
+    Position[Worker.Incarnation] = Input.Workers.size();
+    Input.Workers.push_back(std::move(Worker));
+  }
+  const std::set<JobId> Guaranteed = guaranteedJobs(Config);
+  for (auto &[Id, Job] : Jobs) {
+    if (Job.EndedMs)
+      continue;
+    const bool IsGuaranteed = Guaranteed.count(Id) > 0;
+    for (std::size_t At = 0; At < Job.size(); ++At) {
+      const TaskState &Task = Job.task(At);
+      const auto WorkerIndex = Position.find(Task.Worker);
+      if (Task.Phase != wire::TASK_PLACED || WorkerIndex == Position.end())
+        continue;
+      const Resources Usage = resourcesOf(Job.step(At));
+      PlanWorker &Worker = Input.Workers[WorkerIndex->second];
+      Worker.Free -= Usage;
+      ++Input.OnWorker[{stepKey(Job.name(At)), WorkerIndex->second}];
+      if (Task.StopRequested)
+        Worker.Releasing += Usage;
+      else if (Task.Listed && !IsGuaranteed && !Job.step(At).long_running()) {
+        const double Ran = double((Now.Boot - Task.PlacedAt).count()) / 1000;
+        const double Members =
+            Job.step(At).gang() ? double(Job.step(At).count()) : 1.0;
+        Input.Preemptible.push_back(
+            {WorkerIndex->second, Id, At, Usage,
+             Job.step(At).gang() ? stepKey(Job.name(At)) : std::string(),
+             (Job.step(At).checkpointing() ? 1.0 : Ran + 0.1) * Members *
+                 coreEquivalents(Usage)});
+      }
+    }
+    if (!Job.isOver())
+      addUnits(Job, IsGuaranteed, Now, Input);
+  }
+  return Input;
+}
+
+std::set<JobId> JobTracker::guaranteedJobs(const QueueConfig &Config) const {
+  std::map<std::string, std::vector<const TaskJob *>> ByWorkspace;
+  for (const auto &[Id, Job] : Jobs)
+    if (!Job.EndedMs && !Job.isOver() && Job.spec().priority() == 0)
+      ByWorkspace[Job.spec().workspace()].push_back(&Job);
+  std::set<JobId> Guaranteed;
+  for (auto &[Workspace, UrgentJobs] : ByWorkspace) {
+    const auto Rule = Config.Workspaces.find(WorkspaceId(Workspace));
+    if (Rule == Config.Workspaces.end())
+      continue;
+    std::sort(UrgentJobs.begin(), UrgentJobs.end(),
+              [](const TaskJob *L, const TaskJob *R) {
+                return L->spec().accepted_ms() < R->spec().accepted_ms();
+              });
+    std::int64_t Remaining = Rule->second.GuaranteedAccelerators;
+    for (const TaskJob *Job : UrgentJobs) {
+      std::int64_t Need = 0;
+      for (const wire::StepSpec &Step : Job->spec().steps())
+        Need += Step.count() * Step.accelerators();
+      if (Need > Remaining)
+        continue;
+      Remaining -= Need;
+      Guaranteed.insert(Job->id());
+    }
+  }
+  return Guaranteed;
+}
+
+JobForecast JobTracker::forecastOf(const TaskJob &Job, std::uint32_t Occurrence,
+                                   const ClockReading &Now) const {
+  const wire::TaskJobSpec &Spec = Job.spec();
+  // Duration of the longest chain of steps up to each step, in total and
+  // without the steps that are done.
+  std::vector<double> ChainMs;
+  std::vector<double> RemainingChainMs;
+  JobForecast Forecast;
+  for (int S = 0; S < Spec.steps_size(); ++S) {
+    const wire::StepSpec &Step = Spec.steps(S);
+    const auto DurationMs = double(
+        Durations.expected(Spec.queue(), Milliseconds(Step.estimate_ms()))
+            .count());
+    double EarlierMs = 0;
+    double RemainingEarlierMs = 0;
+    for (std::uint32_t Earlier : Step.after()) {
+      EarlierMs = std::max(EarlierMs, ChainMs[Earlier]);
+      RemainingEarlierMs =
+          std::max(RemainingEarlierMs, RemainingChainMs[Earlier]);
+    }
+    const bool Done = Job.isStepDone(Occurrence, static_cast<std::uint32_t>(S));
+    ChainMs.push_back(EarlierMs + DurationMs);
+    RemainingChainMs.push_back(RemainingEarlierMs + (Done ? 0 : DurationMs));
+    const double TaskWork =
+        DurationMs / 1000 * coreEquivalents(resourcesOf(Step));
+    Forecast.Work += TaskWork * double(Step.count());
+    const std::size_t First =
+        Job.first(Occurrence, static_cast<std::uint32_t>(S));
+    for (std::size_t At = First; At < First + Step.count(); ++At)
+      if (Job.task(At).Phase == wire::TASK_WAITING)
+        Forecast.RemainingWork += TaskWork;
+  }
+  const double ObjectiveMs =
+      Spec.stretch() * *std::max_element(ChainMs.begin(), ChainMs.end()) +
+      double(Spec.target_latency_ms());
+  const double LatencyMs =
+      double(Now.UnixMs - std::max(Spec.accepted_ms(), Job.dueMs(Occurrence))) +
+      *std::max_element(RemainingChainMs.begin(), RemainingChainMs.end());
+  const double SlackMs =
+      (LatencyMs <= ObjectiveMs ? 1 : LateObjectiveFactor) * ObjectiveMs -
+      LatencyMs;
+  Forecast.Slack = Milliseconds(static_cast<std::int64_t>(SlackMs));
+  Forecast.Completion = LatencyMs <= ObjectiveMs ? JobForecast::OnTime
+                        : LatencyMs <= LateObjectiveFactor * ObjectiveMs
+                            ? JobForecast::Late
+                            : JobForecast::TooLate;
+  return Forecast;
+}
+
+double JobTracker::rankOf(const TaskJob &Job,
+                          const JobForecast &Forecast) const {
+  const wire::TaskJobSpec &Spec = Job.spec();
+  const auto Known = QueueWork.find(Spec.queue());
+  const double Mean = Known == QueueWork.end() || Known->second.Jobs == 0
+                          ? Forecast.Work
+                          : Known->second.Sum / Known->second.Jobs;
+  const double Size =
+      std::min(Mean > 0 ? Forecast.Work / Mean : 1.0, MaxRelativeSize);
+  const double Value = (MinValueShare + (1 - MinValueShare) * Size) /
+                       (1 + double(Spec.priority()));
+  const double ValueShare = Forecast.Completion == JobForecast::OnTime ? 1.0
+                            : Forecast.Completion == JobForecast::Late
+                                ? LateValueShare
+                                : TooLateValueShare;
+  // A job that loses no value by waiting yields to one that does.
+  const double Urgency = double(UrgentSlack.count()) /
+                         double(std::max(Forecast.Slack, UrgentSlack).count());
+  return -Value * ValueShare * Urgency / std::max(Forecast.RemainingWork, 1.0);
+}
+
+PlanUnit JobTracker::makeUnit(const TaskJob &Job, std::uint32_t Occurrence,
+                              std::uint32_t Step, bool Guaranteed,
+                              const ClockReading &Now) const {
+  PlanUnit Unit;
+  Unit.Job = Job.id();
+  Unit.Step = &Job.spec().steps(static_cast<int>(Step));
+  Unit.Service = ServiceName(Job.spec().service());
+  Unit.StepKey = stepKey({Job.id(), Occurrence, Step, 0});
+  Unit.Guaranteed = Guaranteed;
+  const JobForecast Forecast = forecastOf(Job, Occurrence, Now);
+  Unit.Rank = Guaranteed ? GuaranteedRank + double(Job.spec().accepted_ms())
+                         : rankOf(Job, Forecast);
+  const auto Duration = Durations.expected(
+      Job.spec().queue(), Milliseconds(Unit.Step->estimate_ms()));
+  const auto WaitedMs =
+      Now.UnixMs - std::max(Job.spec().accepted_ms(), Job.dueMs(Occurrence));
+  Unit.MayPreempt = Guaranteed && WaitedMs >= ReclaimDelay.count();
+  const bool HeldBackTooLong =
+      WaitedMs >= MaxHoldback.count() && !Job.hasPlacedTasks();
+  if (Job.spec().priority() > 0 && Forecast.Completion == JobForecast::OnTime &&
+      Forecast.Slack > HoldbackMinSlack && !HeldBackTooLong)
+    Unit.KeepFullyFree = static_cast<std::size_t>(
+        std::lround(FullyFreeShareForUrgent * double(ReachableWorkers)));
+  Unit.MayRunRemote =
+      double(WaitedMs) > RemoteWaitFactor * double(Duration.count());
+  return Unit;
+}
+
+void JobTracker::addUnits(TaskJob &Job, bool Guaranteed,
+                          const ClockReading &Now, PlanInput &Input) {
+  const auto MayStart = [&](std::size_t At) {
+    if (Job.task(At).Phase != wire::TASK_WAITING)
+      return false;
+    const auto Retry = RetryNotBefore.find(toText(Job.name(At)));
+    return Retry == RetryNotBefore.end() || Retry->second <= Now.Boot;
+  };
+  for (std::uint32_t Occurrence = 0; Occurrence < Job.occurrences();
+       ++Occurrence) {
+    for (int S = 0; S < Job.spec().steps_size(); ++S) {
+      const auto Step = static_cast<std::uint32_t>(S);
+      const std::size_t First = Job.first(Occurrence, Step);
+      const std::size_t Count = Job.spec().steps(S).count();
+      if (Job.isStepDone(Occurrence, Step) ||
+          !Job.isStepReady(Occurrence, Step, Now.UnixMs))
+        continue;
+      PlanUnit Unit = makeUnit(Job, Occurrence, Step, Guaranteed, Now);
+      for (std::size_t At = First; At < First + Count; ++At)
+        if (MayStart(At))
+          Unit.Tasks.push_back(At);
+      if (Job.spec().steps(S).gang()) {
+        if (Unit.Tasks.size() == Count)
+          Input.Units.push_back(std::move(Unit));
+        continue;
+      }
+      for (std::size_t At : Unit.Tasks) {
+        PlanUnit Single = Unit;
+        Single.Tasks = {At};
+        Input.Units.push_back(std::move(Single));
+      }
+    }
+  }
+}
+
+void JobTracker::applyPlan(const TaskPlan &Plan, const PlanInput &Input,
+                           const ClockReading &Now) {
+  for (const PlannedStart &Start : Plan.Starts) {
+    TaskJob &Job = Jobs.at(Start.Job);
+    TaskState &Task = Job.task(Start.Task);
+    // All members of a gang have the same run number.
+    std::uint64_t Run = 0;
+    for (std::size_t Member : gangMembers({&Job, Start.Task}))
+      if (Job.task(Member).Phase != wire::TASK_PLACED || Member == Start.Task)
+        Run = std::max(Run, Job.task(Member).Run);
+    const bool GangHasRun =
+        Job.step(Start.Task).gang() &&
+        std::any_of(Plan.Starts.begin(), Plan.Starts.end(),
+                    [&](const PlannedStart &Other) {
+                      return &Other < &Start && Other.Job == Start.Job &&
+                             Job.step(Other.Task).gang() &&
+                             stepKey(Job.name(Other.Task)) ==
+                                 stepKey(Job.name(Start.Task));
+                    });
+    if (GangHasRun)
+      Run = Job.task(gangMembers({&Job, Start.Task}).front()).Run;
+    else
+      ++Run;
+    Task.Run = Run;
+    Task.Phase = wire::TASK_PLACED;
+    Task.Worker = Input.Workers[Start.Worker].Incarnation;
+    Task.PlacedAt = Now.Boot;
+    Task.OrderedByAgent = Input.Workers[Start.Worker].AgentIncarnation;
+    Task.Listed = false;
+    Task.StopRequested = false;
+    Job.Begun = true;
+    Dirty.insert(Start.Job);
+    LOG4CPLUS_INFO(
+        runLog(), LogFields("run placed")
+                      .add("task", toText(Job.name(Start.Task)))
+                      .add("run", Task.Run)
+                      .add("worker", Task.Worker)
+                      .add("queue", Job.spec().queue())
+                      .add("waited_ms", Now.UnixMs - Job.spec().accepted_ms()));
+  }
+  for (const PlannedStop &Stop : Plan.Stops) {
+    TaskJob &Job = Jobs.at(Stop.Job);
+    stopMembers({&Job, Stop.Task});
+    LOG4CPLUS_INFO(runLog(), LogFields("run preempted for a guaranteed job")
+                                 .add("task", toText(Job.name(Stop.Task)))
+                                 .add("run", Job.task(Stop.Task).Run)
+                                 .add("worker", Job.task(Stop.Task).Worker));
+  }
+}
+
+} // namespace baobabcove
--- /dev/null
+++ b/src/tasks/JobTrackerProgress.cpp
@@ -0,0 +1,73 @@
+/// \file
+/// The part of JobTracker that monitors the progress of runs.
+
+#include "base/Log.h"
+#include "base/LogFields.h"
+#include "tasks/JobTracker.h"
+
+namespace baobabcove {
+
+namespace {
+
+/// New checkpoints of running tasks are stored this often, so that work
+/// survives the simultaneous loss of worker and coordinator. Tasks on the
+/// production sites take a checkpoint every 0.5 to 2 s.
+constexpr Milliseconds CheckpointPeriod{1000};
+
+/// A run without progress for this long is stalled. Reports arrive twice a
+/// second, and the slowest tasks of the production sites, on a slow worker away
+/// from their data, advance by one percent in this time.
+constexpr Milliseconds StallTimeout{1600};
+/// A worker with stalled runs gets no new task for this long.
+constexpr Milliseconds StallQuarantine{2500};
+/// A stalled run without checkpoints is moved if at most this much work is
+/// lost. Stalls last 4 to 7 s.
+constexpr Milliseconds MaxStallLoss{3000};
+
+} // namespace
+
+double JobTracker::completedMs(const TaskJob &Job, std::size_t At) const {
+  const auto Whole = Durations.expected(
+      Job.spec().queue(), Milliseconds(Job.step(At).estimate_ms()));
+  return double(Whole.count()) * double(Job.task(At).Percent) / 100;
+}
+
+void JobTracker::moveStalledRuns(const ClockReading &Now) {
+  for (auto &[Id, Job] : Jobs) {
+    if (Job.EndedMs)
+      continue;
+    for (std::size_t At = 0; At < Job.size(); ++At) {
+      const TaskState &Task = Job.task(At);
+      // Only a run that was listed throughout the timeout can be stalled.
+      if (Task.Phase != wire::TASK_PLACED || !Task.Listed ||
+          Task.StopRequested || Job.step(At).long_running() ||
+          Now.Boot - Task.LastListedAt > StallTimeout ||
+          Task.LastListedAt - Task.PercentChangedAt < StallTimeout)
+        continue;
+      Quarantine.quarantine(nodeOf(Task.Worker), Now.Boot, StallQuarantine);
+      const bool IsCheap = Job.step(At).checkpointing() ||
+                           completedMs(Job, At) <= double(MaxStallLoss.count());
+      LOG4CPLUS_INFO(logOf("run"),
+                     LogFields("run stalled")
+                         .add("task", toText(Job.name(At)))
+                         .add("run", Task.Run)
+                         .add("worker", Task.Worker)
+                         .add("percent", Task.Percent)
+                         .add("outcome", IsCheap ? "moved" : "left"));
+      if (IsCheap)
+        stopMembers({&Job, At});
+      else
+        Job.task(At).PercentChangedAt = Now.Boot;
+    }
+  }
+}
+
+void JobTracker::flushCheckpoints(const ClockReading &Now) {
+  if (Now.Boot - CheckpointsFlushedAt < CheckpointPeriod)
+    return;
+  CheckpointsFlushedAt = Now.Boot;
+  Dirty.insert(UnflushedCheckpoints.begin(), UnflushedCheckpoints.end());
+  UnflushedCheckpoints.clear();
+}
+
+} // namespace baobabcove
--- a/src/tasks/ProgressWriter.cpp
+++ b/src/tasks/ProgressWriter.cpp
@@ -10,11 +10,12 @@
 
 namespace {
 
-/// The store takes 32 entries a transaction: the role's condition, and a
-/// condition and a write for each job.
+/// The store accepts 32 entries per transaction: one condition on the role key,
+/// and one condition and one write per job.
 constexpr std::size_t JobsPerWrite = 15;
 
-/// The revision of \p Key among the current items; zero when it is absent.
+/// Returns the revision of \p Key among the current items, or zero if it is
+/// absent.
 std::int64_t revisionOf(const CommitResult &Result, const std::string &Key) {
   for (const StoreItem &Item : Result.Current)
     if (Item.Key == Key)
@@ -35,15 +36,15 @@
                                    std::map<JobId, TaskJob> &Jobs,
                                    std::set<JobId> &Dirty) {
   while (!Dirty.empty())
-    if (const auto Outcome = writeSome(Term, Jobs, Dirty);
+    if (const auto Outcome = writeBatch(Term, Jobs, Dirty);
         Outcome != WriteOutcome::Written)
       return Outcome;
   return WriteOutcome::Written;
 }
 
-WriteOutcome ProgressWriter::writeSome(const CoordinatorTerm &Term,
-                                       std::map<JobId, TaskJob> &Jobs,
-                                       std::set<JobId> &Dirty) {
+WriteOutcome ProgressWriter::writeBatch(const CoordinatorTerm &Term,
+                                        std::map<JobId, TaskJob> &Jobs,
+                                        std::set<JobId> &Dirty) {
   Transaction Change;
   Change.Conditions.push_back({keys::Coordinator, Term.Revision});
   std::map<JobId, std::string> Values;
--- a/src/tasks/ProgressWriter.h
+++ b/src/tasks/ProgressWriter.h
@@ -1,7 +1,3 @@
-/// \file
-/// Writes the progress of jobs under the condition that the role is still
-/// held.
-
 #ifndef BAOBABCOVE_TASKS_PROGRESSWRITER_H
 #define BAOBABCOVE_TASKS_PROGRESSWRITER_H
 
@@ -15,24 +11,26 @@
 
 namespace baobabcove {
 
-/// How a round of writing ended.
+/// Result of writing progress.
 enum class WriteOutcome {
   /// Everything is in the store.
   Written,
-  /// Something may be missing: write again.
+  /// Something may be missing; the caller must write again.
   Retry,
   /// Another process holds the role.
   RoleLost,
 };
 
-/// Used by one thread.
+/// Writes the progress of jobs, conditional on the coordinator role. Not
+/// thread-safe.
 class ProgressWriter {
 public:
   explicit ProgressWriter(TransactionalStore &Kv) : Kv(Kv) {}
 
-  /// Writes the progress of the jobs in \p Dirty and takes those that are in
-  /// the store out of it. A write whose answer was lost is settled by the
-  /// next one, whose conditions show what the store holds.
+  /// Writes the progress of the jobs in \p Dirty and removes those from
+  /// \p Dirty that are in the store. A write with an unknown outcome is
+  /// resolved by the next one, whose conditions reveal the contents of the
+  /// store.
   WriteOutcome write(const CoordinatorTerm &Term,
                      std::map<JobId, TaskJob> &Jobs, std::set<JobId> &Dirty);
 
@@ -40,9 +38,9 @@
   WriteOutcome remove(const CoordinatorTerm &Term, const JobId &Id);
 
 private:
-  WriteOutcome writeSome(const CoordinatorTerm &Term,
-                         std::map<JobId, TaskJob> &Jobs,
-                         std::set<JobId> &Dirty);
+  WriteOutcome writeBatch(const CoordinatorTerm &Term,
+                          std::map<JobId, TaskJob> &Jobs,
+                          std::set<JobId> &Dirty);
 
   TransactionalStore &Kv;
 };
--- a/src/tasks/QueueConfig.h
+++ b/src/tasks/QueueConfig.h
@@ -1,6 +1,3 @@
-/// \file
-/// The operators' rules for queues and workspaces, one version at a time.
-
 #ifndef BAOBABCOVE_TASKS_QUEUECONFIG_H
 #define BAOBABCOVE_TASKS_QUEUECONFIG_H
 
@@ -13,40 +10,40 @@
 
 namespace baobabcove {
 
-/// Which jobs a queue takes and how they are run.
+/// The paths that a queue serves and how its jobs are run.
 struct QueueRule {
   std::string Name;
   std::string Host;
-  /// Beginning of the paths that belong to the queue.
+  /// Prefix of the paths that belong to the queue.
   std::string Prefix;
   ServiceName Service;
-  /// Zero goes first and may preempt the others.
+  /// Zero is the highest priority and may preempt the others.
   std::uint32_t Priority = 0;
   std::uint32_t MaxAttempts = 1;
-  /// Multiple of the longest chain of work within which a job is on time.
+  /// A job is on time if it takes at most this multiple of its longest chain of
+  /// steps, plus the target latency.
   double Stretch = 1;
   Milliseconds TargetLatency{0};
-  /// Calls need no key.
+  /// Calls are accepted without an API key.
   bool Anonymous = false;
 };
 
-/// Accelerators that belong to a workspace's urgent jobs at all times.
+/// Accelerators that are guaranteed to the urgent jobs of a workspace.
 struct WorkspaceRule {
   WorkspaceId Name;
   std::int64_t GuaranteedAccelerators = 0;
 };
 
-/// One version of the rules.
+/// One version of the operators' configuration of queues and workspaces.
 struct QueueConfig {
   std::int64_t Version = 0;
   std::vector<QueueRule> Queues;
   std::map<WorkspaceId, WorkspaceRule> Workspaces;
-  /// Which workspace a key belongs to.
+  /// Workspaces by API key.
   std::map<std::string, WorkspaceId> Keys;
 };
 
-/// The queue of \p Host with the longest prefix that \p Path begins with, or
-/// null.
+/// Returns the queue of \p Host with the longest prefix of \p Path, or null.
 const QueueRule *findQueue(const QueueConfig &Config, const std::string &Host,
                            const std::string &Path);
 
--- /dev/null
+++ b/src/tasks/RunOrderTracker.h
@@ -0,0 +1,72 @@
+#ifndef BAOBABCOVE_TASKS_RUNORDERTRACKER_H
+#define BAOBABCOVE_TASKS_RUNORDERTRACKER_H
+
+#include "baobabcove/Clock.h"
+#include "tasks.pb.h"
+
+#include <cstdint>
+#include <map>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
+
+namespace baobabcove {
+
+using RunId = std::pair<std::string, std::uint64_t>;
+
+/// Tracks the state of each ordered run at an agent: which order to send next,
+/// and whether it is certain that the run will never start. Not thread-safe.
+class RunOrderTracker {
+public:
+  /// Removes all runs, for a new worker incarnation.
+  void clear() { Runs.clear(); }
+
+  /// Replaces the tracked runs with those in \p Orders and returns the orders
+  /// to send now; true denotes a stop.
+  std::vector<std::pair<RunId, bool>> update(const wire::TaskOrders &Orders,
+                                             BootInstant Now);
+
+  /// Records that a run started, by the answer to its start or by a listing.
+  void markStarted(const RunId &Run);
+  /// Records that the worker refused a start, which can no longer begin the
+  /// run.
+  void markRefused(const RunId &Run, wire::RefusalReason Reason);
+  /// Records that the outcome of a start is unknown and the worker does not
+  /// list the run. The run has to be barred by a stop, after which the worker
+  /// refuses to start it.
+  void markUnknown(const RunId &Run);
+  /// Records that the worker acknowledged a stop.
+  void markStopped(const RunId &Run, BootInstant At);
+  /// Records that a stop was not answered or was refused; it is sent again
+  /// later.
+  void markStopFailed(const RunId &Run, BootInstant At);
+  /// Records that the run can never start because its worker is gone.
+  void markBarred(const RunId &Run);
+
+  /// Applies a listing that was requested at \p RequestedAt. A run whose stop
+  /// was acknowledged before then and that is not listed can never start.
+  /// Returns whether any run got into that state.
+  bool applyListing(const std::set<RunId> &Known, BootInstant RequestedAt);
+
+  /// Whether a queued start of \p Run is still wanted: it has no result yet and
+  /// no stop was ordered.
+  bool isStartPending(const RunId &Run) const;
+
+  /// Returns the runs that have not started and never will.
+  std::vector<wire::RunRefusal> refusals() const;
+
+private:
+  enum class OrderState { Starting, Started, Stopping, Stopped, NeverStarted };
+  struct Entry {
+    OrderState State = OrderState::Starting;
+    /// When a stop was last acknowledged or failed.
+    BootInstant LastStopAt{};
+    wire::RefusalReason Reason = wire::REFUSAL_REASON_UNSPECIFIED;
+  };
+  std::map<RunId, Entry> Runs;
+};
+
+} // namespace baobabcove
+
+#endif // BAOBABCOVE_TASKS_RUNORDERTRACKER_H
--- a/src/tasks/StoreFollower.cpp
+++ b/src/tasks/StoreFollower.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Between calls to a store that fails: ten processes stay far below the
-/// store's rates.
-constexpr Milliseconds RetryPause{250};
+/// Delay between calls to a failing store; with it ten processes stay far below
+/// the rate limits of the store.
+constexpr Milliseconds RetryDelay{250};
 
 } // namespace
 
@@ -33,7 +33,7 @@
 void StoreFollower::run() {
   while (!Stopping)
     if (!(Revision == 0 ? listAll() : follow()) && !Stopping)
-      std::this_thread::sleep_for(RetryPause);
+      std::this_thread::sleep_for(RetryDelay);
 }
 
 bool StoreFollower::listAll() {
@@ -53,9 +53,10 @@
   const BootInstant SentAt = BootClock::now();
   auto News = Kv.changes(Prefix, Revision, Wait);
   if (!News && News.error().Code == ResultCode::CompareFailed) {
-    LOG4CPLUS_INFO(logOf("store"), LogFields("history gone, listing anew")
-                                       .add("prefix", Prefix)
-                                       .add("revision", Revision));
+    LOG4CPLUS_INFO(logOf("store"),
+                   LogFields("store history compacted; listing all keys again")
+                       .add("prefix", Prefix)
+                       .add("revision", Revision));
     Revision = 0;
     return true;
   }
@@ -71,21 +72,21 @@
 }
 
 void StoreFollower::noteFailure(const Error &Fault) {
-  if (!Lost)
+  if (!Unreachable)
     LOG4CPLUS_WARN(logOf("store"), LogFields("store lost")
                                        .add("prefix", Prefix)
                                        .add("revision", Revision)
                                        .add("why", Fault.Detail));
-  Lost = true;
+  Unreachable = true;
 }
 
 void StoreFollower::noteSuccess(BootInstant SentAt) {
-  if (Lost)
+  if (Unreachable)
     LOG4CPLUS_INFO(logOf("store"), LogFields("store regained")
                                        .add("prefix", Prefix)
                                        .add("revision", Revision));
-  Lost = false;
-  Proven = SentAt;
+  Unreachable = false;
+  ConfirmedAt = SentAt;
 }
 
 } // namespace baobabcove
--- a/src/tasks/StoreFollower.h
+++ b/src/tasks/StoreFollower.h
@@ -1,6 +1,3 @@
-/// \file
-/// Follows a part of the store: all its keys first, then each change.
-
 #ifndef BAOBABCOVE_TASKS_STOREFOLLOWER_H
 #define BAOBABCOVE_TASKS_STOREFOLLOWER_H
 
@@ -15,22 +12,22 @@
 
 namespace baobabcove {
 
-/// What a follower tells. Called from the follower's thread.
+/// Callbacks of a follower, called from its thread.
 struct FollowerEvents {
-  /// All keys under the prefix; whatever was known before and is not among
-  /// them is gone.
+  /// Receives all keys under the prefix; keys that are not included no longer
+  /// exist.
   std::function<void(const StoreChanges &)> Listed;
-  /// Changes after what was told before, oldest first.
+  /// Receives the changes since the previous callback, oldest first.
   std::function<void(const StoreChanges &)> Changed;
 };
 
-/// Keeps a copy of what stands under a prefix up to date, in a thread of its
-/// own. After an error it goes on from the last revision; where the store has
-/// lost that history it lists anew.
+/// Lists the keys under a prefix and then watches them for changes, in a thread
+/// of its own. After an error it continues from the last revision; if the store
+/// has compacted that revision it lists all keys again.
 class StoreFollower {
 public:
-  /// Each watch waits at most \p Wait, which bounds how old the copy may be
-  /// without notice.
+  /// Each watch waits for at most \p Wait, which bounds the age of the copy
+  /// while the store answers.
   StoreFollower(TransactionalStore &Kv, std::string Prefix, Milliseconds Wait,
                 FollowerEvents Events);
   ~StoreFollower();
@@ -38,9 +35,10 @@
   void start();
   void stop();
 
-  /// The moment at which the newest answered call was sent: what was in the
-  /// store then is known here. The epoch before the first answer.
-  BootInstant provenAt() const { return Proven.load(); }
+  /// Returns the time at which the last answered call was sent. Changes stored
+  /// before then have been delivered. Returns the epoch of the clock before the
+  /// first answer.
+  BootInstant confirmedAt() const { return ConfirmedAt.load(); }
 
 private:
   void run();
@@ -53,11 +51,11 @@
   const std::string Prefix;
   const Milliseconds Wait;
   const FollowerEvents Events;
-  std::atomic<BootInstant> Proven{BootInstant{}};
+  std::atomic<BootInstant> ConfirmedAt{BootInstant{}};
   std::atomic<bool> Stopping{false};
-  /// Zero until everything has been listed.
+  /// Zero until all keys have been listed.
   std::int64_t Revision = 0;
-  bool Lost = false;
+  bool Unreachable = false;
   std::thread Thread;
 };
 
--- a/src/tasks/StoreKeys.h
+++ b/src/tasks/StoreKeys.h
@@ -10,13 +10,14 @@
 
 namespace baobabcove::keys {
 
-/// Prefix of everything below.
+/// Prefix of all keys below.
 inline const std::string All = "baobabcove/";
-/// The coordinator: "NODE ADDRESS", bound to its lease.
+/// The coordinator role: "NODE ADDRESS NONCE", bound to the lease of its
+/// holder.
 inline const std::string Coordinator = "baobabcove/coordinator";
 /// Accepted jobs, one key each, never rewritten.
 inline const std::string Jobs = "baobabcove/job/";
-/// How far jobs have come, written by the coordinator alone.
+/// Progress of jobs, written by the coordinator only.
 inline const std::string Progress = "baobabcove/progress/";
 /// Cancelled jobs.
 inline const std::string Cancels = "baobabcove/cancel/";
--- a/src/tasks/TaskAgent.cpp
+++ b/src/tasks/TaskAgent.cpp
@@ -11,26 +11,28 @@
 
 namespace {
 
-/// How long the coordinator may hold back an answer without news; also how
-/// often it hears of a quiet worker.
+/// Longest time that the coordinator may hold a report without new orders, and
+/// therefore the report period of an idle worker.
 constexpr Milliseconds AttendWait{400};
-/// Beyond that wait, before the coordinator is looked up anew.
-constexpr Milliseconds AttendSlack{900};
-/// Between attempts to find a coordinator that does not answer.
-constexpr Milliseconds SearchPause{200};
-/// How long the worker may hold back a listing without an end.
-constexpr Milliseconds HoldWait{400};
-constexpr Milliseconds HoldRetry{100};
-/// Without a listing for this long the worker's lists are not told any more.
-constexpr Milliseconds ListingPatience{1500};
-/// The slowest clock of a worker runs at this share of the true speed (the
-/// users' pages: up to 2 % slow).
-constexpr double SlowestClock = 0.98;
-/// Orders that may wait; a worker has a few dozen tasks at most.
-constexpr std::size_t QueuedOrders = 1024;
+/// Time beyond that wait before the call times out and the coordinator is
+/// looked up again.
+constexpr Milliseconds AttendTimeoutMargin{900};
+/// Delay between attempts to find a reachable coordinator.
+constexpr Milliseconds CoordinatorSearchDelay{200};
+/// Longest time that the worker may hold a listing without a new end.
+constexpr Milliseconds ListingWait{400};
+constexpr Milliseconds ListingRetryDelay{100};
+/// Runs are reported only if the last listing is younger than this.
+constexpr Milliseconds ListingTimeout{1500};
+/// Lowest rate of a worker's clock relative to real time; the platform allows
+/// clocks that are up to 2 % slow.
+constexpr double SlowestClockRate = 0.98;
+/// Capacity of the order queue; a worker has a few dozen tasks at most.
+constexpr std::size_t MaxQueuedOrders = 1024;
 
-std::string lifeOf(const NodeId &Node, const WorkerBeat &Beat) {
-  return Node.str() + "/" + Beat.Id + "#" + std::to_string(Beat.BornMs);
+std::string incarnationName(const NodeId &Node, const WorkerBeat &Heartbeat) {
+  return Node.str() + "/" + Heartbeat.Id + "#" +
+         std::to_string(Heartbeat.BornMs);
 }
 
 } // namespace
@@ -38,15 +40,15 @@
 TaskAgent::TaskAgent(AgentSettings Settings, TransactionalStore &Kv,
                      LinkFactory Links, Metrics &Figures)
     : Settings(std::move(Settings)), Kv(Kv), Links(std::move(Links)),
-      Figures(Figures), Life(static_cast<std::uint64_t>(wallClockMs())),
-      Queue(QueuedOrders) {}
+      Figures(Figures), Incarnation(static_cast<std::uint64_t>(wallClockMs())),
+      Queue(MaxQueuedOrders) {}
 
 TaskAgent::~TaskAgent() { stop(); }
 
 void TaskAgent::start() {
   Threads.emplace_back([this] { attendLoop(); });
-  Threads.emplace_back([this] { newsLoop(); });
-  Threads.emplace_back([this] { holdLoop(); });
+  Threads.emplace_back([this] { reportLoop(); });
+  Threads.emplace_back([this] { listLoop(); });
   for (int I = 0; I < OrderThreads; ++I)
     Threads.emplace_back([this] { orderLoop(); });
 }
@@ -56,44 +58,46 @@
     const std::lock_guard<std::mutex> Lock(Mutex);
     Stopping = true;
   }
-  News.notify_all();
-  Changed.notify_all();
+  ReportNeeded.notify_all();
+  StateChanged.notify_all();
   for (std::thread &Thread : Threads)
     if (Thread.joinable())
       Thread.join();
 }
 
-void TaskAgent::beat(const WorkerBeat &Beat) {
+void TaskAgent::beat(const WorkerBeat &Heartbeat) {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  if (Worker && (Beat.BornMs < Worker->BornMs ||
-                 (Beat.Id == Worker->Id && Beat.BornMs == Worker->BornMs &&
-                  Beat.Sequence <= Worker->Sequence)))
+  if (Worker &&
+      (Heartbeat.BornMs < Worker->BornMs ||
+       (Heartbeat.Id == Worker->Id && Heartbeat.BornMs == Worker->BornMs &&
+        Heartbeat.Sequence <= Worker->Sequence)))
     return;
-  const bool Drains = Beat.Draining && !(Worker && Worker->Draining);
-  const std::string Name = lifeOf(Settings.Node, Beat);
-  const bool Begins = Name != WorkerName;
-  Worker = Beat;
-  if (Begins) {
+  const bool StartsDraining =
+      Heartbeat.Draining && !(Worker && Worker->Draining);
+  const std::string Name = incarnationName(Settings.Node, Heartbeat);
+  const bool NewIncarnation = Name != WorkerName;
+  Worker = Heartbeat;
+  if (NewIncarnation) {
     LOG4CPLUS_INFO(logOf("worker"),
                    LogFields("worker announced")
                        .add("worker", Name)
                        .add("was", WorkerName)
-                       .add("address", Beat.Address)
-                       .add("rack", Beat.Rack)
-                       .add("accelerators", Beat.Accelerators));
-    forgetWorker();
+                       .add("address", Heartbeat.Address)
+                       .add("rack", Heartbeat.Rack)
+                       .add("accelerators", Heartbeat.Accelerators));
+    resetWorkerState();
     WorkerName = Name;
-    Link = std::shared_ptr<WorkerLink>(Links(Beat));
+    Link = std::shared_ptr<WorkerLink>(Links(Heartbeat));
   }
-  if (Drains)
+  if (StartsDraining)
     LOG4CPLUS_INFO(logOf("worker"),
-                   LogFields("worker drains")
+                   LogFields("worker is draining")
                        .add("worker", Name)
-                       .add("remaining_ms", Beat.Remaining.count()));
-  if (Begins || Drains) {
-    HasNews = true;
-    News.notify_all();
-    Changed.notify_all();
+                       .add("remaining_ms", Heartbeat.Remaining.count()));
+  if (NewIncarnation || StartsDraining) {
+    ReportPending = true;
+    ReportNeeded.notify_all();
+    StateChanged.notify_all();
   }
 }
 
@@ -103,22 +107,23 @@
     return;
   LOG4CPLUS_INFO(logOf("worker"),
                  LogFields("worker left").add("worker", WorkerName));
-  forgetWorker();
+  resetWorkerState();
   Link.reset();
-  // Nothing runs where there is no worker, which is told like a life of its
-  // own, so that the runs of the last one are taken for ended.
+  // The departed worker is reported as an incarnation without runs, so that the
+  // coordinator treats the runs of the last incarnation as ended.
   Worker->Draining = true;
-  WorkerName = Settings.Node.str() + "/none#" + std::to_string(++WorkersGone);
+  WorkerName =
+      Settings.Node.str() + "/none#" + std::to_string(++DepartedWorkers);
   Listed = true;
   ListedAt = BootInstant::max();
-  HasNews = true;
-  News.notify_all();
+  ReportPending = true;
+  ReportNeeded.notify_all();
 }
 
-void TaskAgent::forgetWorker() {
+void TaskAgent::resetWorkerState() {
   Running.clear();
   Ends.clear();
-  Ledger.clear();
+  RunOrders.clear();
   Orders.Clear();
   Listed = false;
   WorkerClockAt = BootInstant{};
@@ -136,26 +141,28 @@
         const bool Found = findCoordinator();
         Lock.lock();
         if (!Found) {
-          Changed.wait_for(Lock, SearchPause, [&] { return Stopping; });
+          StateChanged.wait_for(Lock, CoordinatorSearchDelay,
+                                [&] { return Stopping; });
           continue;
         }
       }
     }
     if (!exchange(AttendWait)) {
       std::unique_lock<std::mutex> Lock(Mutex);
-      Changed.wait_for(Lock, SearchPause, [&] { return Stopping; });
+      StateChanged.wait_for(Lock, CoordinatorSearchDelay,
+                            [&] { return Stopping; });
     }
   }
 }
 
-void TaskAgent::newsLoop() {
+void TaskAgent::reportLoop() {
   for (;;) {
     {
       std::unique_lock<std::mutex> Lock(Mutex);
-      News.wait(Lock, [&] { return Stopping || HasNews; });
+      ReportNeeded.wait(Lock, [&] { return Stopping || ReportPending; });
       if (Stopping)
         return;
-      HasNews = false;
+      ReportPending = false;
     }
     exchange(Milliseconds(0));
   }
@@ -191,20 +198,21 @@
     Report = report(Wait);
   }
   const BootInstant SentAt = BootClock::now();
-  const auto Answer = Peers.attend(Address, Report, Wait + AttendSlack);
+  const auto Answer = Peers.attend(Address, Report, Wait + AttendTimeoutMargin);
   if (Answer && Answer->coordinating()) {
-    takeOrders(*Answer, SentAt);
+    applyOrders(*Answer, SentAt);
     return true;
   }
   const std::lock_guard<std::mutex> Lock(Mutex);
   if (Coordinator != Address)
     return false;
-  LOG4CPLUS_WARN(logOf("coordinator"),
-                 LogFields("coordinator lost")
-                     .add("address", Address)
-                     .add("epoch", Term)
-                     .add("why", Answer ? "does not hold the role"
-                                        : Answer.error().Detail));
+  LOG4CPLUS_WARN(
+      logOf("coordinator"),
+      LogFields("coordinator lost")
+          .add("address", Address)
+          .add("epoch", Term)
+          .add("why", Answer ? "process does not hold the coordinator role"
+                             : Answer.error().Detail));
   Peers.forget(Address);
   Coordinator.clear();
   return false;
@@ -215,7 +223,7 @@
   wire::TaskReport Report;
   Report.set_node(Settings.Node.str());
   Report.set_data_centre(Settings.DataCentre.str());
-  Report.set_agent_life(Life);
+  Report.set_agent_life(Incarnation);
   Report.set_sequence(++Sequence);
   Report.set_wait_ms(static_cast<std::uint32_t>(Wait.count()));
   Report.set_orders_seen(Orders.revision());
@@ -232,57 +240,58 @@
   Report.set_draining(Worker->Draining);
   Report.set_remaining_ms(Worker->Remaining.count());
   Report.set_complete(Listed && (ListedAt == BootInstant::max() ||
-                                 Now - ListedAt < ListingPatience));
+                                 Now - ListedAt < ListingTimeout));
   Report.set_lapsed(!Report.complete() && LeaseUntil != BootInstant{} &&
                     Now > LeaseUntil);
   *Report.mutable_running() = {Running.begin(), Running.end()};
   *Report.mutable_ends() = {Ends.begin(), Ends.end()};
-  for (wire::RunRefusal &Refusal : Ledger.refusals())
+  for (wire::RunRefusal &Refusal : RunOrders.refusals())
     *Report.add_refusals() = std::move(Refusal);
   return Report;
 }
 
-void TaskAgent::takeOrders(const wire::TaskOrders &Given, BootInstant SentAt) {
+void TaskAgent::applyOrders(const wire::TaskOrders &NewOrders,
+                            BootInstant SentAt) {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  if (Epoch(Given.epoch()) < Term)
+  if (Epoch(NewOrders.epoch()) < Term)
     return;
-  if (Epoch(Given.epoch()) != Term) {
-    LOG4CPLUS_INFO(
-        logOf("coordinator"),
-        LogFields("new term").add("epoch", Given.epoch()).add("was", Term));
-    Term = Epoch(Given.epoch());
-    Changed.notify_all();
+  if (Epoch(NewOrders.epoch()) != Term) {
+    LOG4CPLUS_INFO(logOf("coordinator"), LogFields("new coordinator term")
+                                             .add("epoch", NewOrders.epoch())
+                                             .add("was", Term));
+    Term = Epoch(NewOrders.epoch());
+    StateChanged.notify_all();
   }
   GrantedUntil =
-      std::max(GrantedUntil, SentAt + Milliseconds(Given.grant_ms()));
-  if (Given.worker() != WorkerName || WorkerName.empty() ||
-      Given.revision() <= Orders.revision())
+      std::max(GrantedUntil, SentAt + Milliseconds(NewOrders.grant_ms()));
+  if (NewOrders.worker() != WorkerName || WorkerName.empty() ||
+      NewOrders.revision() <= Orders.revision())
     return;
-  Orders = Given;
+  Orders = NewOrders;
   queueOrders();
 }
 
 void TaskAgent::queueOrders() {
-  for (const auto &[Run, Stop] : Ledger.take(Orders, BootClock::now())) {
+  for (const auto &[Run, Stop] : RunOrders.update(Orders, BootClock::now())) {
     if (!Link)
-      Ledger.barred(Run);
+      RunOrders.markBarred(Run);
     else if (!Queue.tryPush({Stop, Run.first, Run.second}))
-      Ledger.stopFailed(Run, BootClock::now());
-    HasNews = HasNews || !Link;
+      RunOrders.markStopFailed(Run, BootClock::now());
+    ReportPending = ReportPending || !Link;
   }
-  if (HasNews)
-    News.notify_all();
+  if (ReportPending)
+    ReportNeeded.notify_all();
 }
 
-bool TaskAgent::knowsClock() const {
+bool TaskAgent::hasWorkerClock() const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   return WorkerClockAt != BootInstant{};
 }
 
-TaskAgent::Call TaskAgent::prepareCall() {
-  Call Next;
+TaskAgent::WorkerCall TaskAgent::prepareCall() {
+  WorkerCall Next;
   Next.Link = Link;
-  Next.Life = WorkerName;
+  Next.Incarnation = WorkerName;
   Next.Term = Term;
   Next.Acknowledged = Orders.acknowledged_end();
   const BootInstant Now = BootClock::now();
@@ -290,82 +299,87 @@
     const auto Left = double((GrantedUntil - WorkerClockAt).count());
     Next.Deadline =
         WorkerClock +
-        Milliseconds(static_cast<std::int64_t>(Left * SlowestClock));
+        Milliseconds(static_cast<std::int64_t>(Left * SlowestClockRate));
     LeaseUntil = std::max(LeaseUntil, GrantedUntil);
   }
   return Next;
 }
 
-void TaskAgent::holdLoop() {
+void TaskAgent::listLoop() {
   for (;;) {
     {
       std::unique_lock<std::mutex> Lock(Mutex);
-      Changed.wait(Lock, [&] { return Stopping || (Link && Term != Epoch()); });
+      StateChanged.wait(Lock,
+                        [&] { return Stopping || (Link && Term != Epoch()); });
       if (Stopping)
         return;
     }
-    if (!list(HoldWait)) {
+    if (!listRuns(ListingWait)) {
       std::unique_lock<std::mutex> Lock(Mutex);
-      Changed.wait_for(Lock, HoldRetry, [&] { return Stopping; });
+      StateChanged.wait_for(Lock, ListingRetryDelay, [&] { return Stopping; });
     }
   }
 }
 
-bool TaskAgent::list(Milliseconds Wait) {
-  Call Of;
+bool TaskAgent::listRuns(Milliseconds Wait) {
+  WorkerCall Request;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    Of = prepareCall();
-    // The first listing tells the worker's clock and must not wait.
+    Request = prepareCall();
+    // The first listing provides the worker's clock and must not wait.
     if (WorkerClockAt == BootInstant{})
       Wait = Milliseconds(0);
   }
-  if (!Of.Link)
+  if (!Request.Link)
     return false;
-  const BootInstant AskedAt = BootClock::now();
-  const auto Runs = Of.Link->hold(Of.Deadline, Of.Acknowledged, Wait, Of.Term);
+  const BootInstant RequestedAt = BootClock::now();
+  const auto Listing = Request.Link->hold(
+      Request.Deadline, Request.Acknowledged, Wait, Request.Term);
   const BootInstant Now = BootClock::now();
-  if (!Runs) {
+  if (!Listing) {
     Figures.count("listing_failures");
     return false;
   }
-  takeRuns(Of, *Runs, AskedAt, Now);
+  applyListing(Request, *Listing, RequestedAt, Now);
   return true;
 }
 
-void TaskAgent::takeRuns(const Call &Of, const WorkerRuns &Runs,
-                         BootInstant AskedAt, BootInstant Now) {
+void TaskAgent::applyListing(const WorkerCall &Request,
+                             const WorkerRuns &Listing, BootInstant RequestedAt,
+                             BootInstant Now) {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  if (Of.Life != WorkerName || !Worker ||
-      (Runs.BornMs && Worker->BornMs && Runs.BornMs != Worker->BornMs))
+  if (Request.Incarnation != WorkerName || !Worker ||
+      (Listing.BornMs && Worker->BornMs && Listing.BornMs != Worker->BornMs))
     return;
   std::set<RunId> Known;
-  for (const wire::RunStatus &Run : Runs.Running)
+  for (const wire::RunStatus &Run : Listing.Running)
     Known.insert({Run.task(), Run.run()});
-  for (const wire::RunEnd &End : Runs.Ends)
+  for (const wire::RunEnd &End : Listing.Ends)
     Known.insert({End.task(), End.run()});
-  std::set<RunId> Before;
+  std::set<RunId> Previous;
   for (const wire::RunStatus &Run : Running)
-    Before.insert({Run.task(), Run.run()});
-  bool Fresh = !Listed;
-  for (const wire::RunStatus &Run : Runs.Running)
-    Fresh = Fresh || !Before.count({Run.task(), Run.run()});
+    Previous.insert({Run.task(), Run.run()});
+  bool HasNews = !Listed;
+  for (const wire::RunStatus &Run : Listing.Running)
+    HasNews = HasNews || !Previous.count({Run.task(), Run.run()});
   const std::uint64_t LastEnd = Ends.empty() ? 0 : Ends.back().number();
-  Fresh = Fresh || (!Runs.Ends.empty() && Runs.Ends.back().number() > LastEnd);
-  // Listings may overtake each other; the ends of an older one are fewer.
-  if (AskedAt < ListedAt && Listed && ListedAt != BootInstant::max() && !Fresh)
+  HasNews = HasNews ||
+            (!Listing.Ends.empty() && Listing.Ends.back().number() > LastEnd);
+  // Listings can arrive out of order; an older one contains fewer ends.
+  if (RequestedAt < ListedAt && Listed && ListedAt != BootInstant::max() &&
+      !HasNews)
     return;
-  Running = Runs.Running;
-  Ends = Runs.Ends;
+  Running = Listing.Running;
+  Ends = Listing.Ends;
   Listed = true;
   ListedAt = Now;
-  WorkerClock = Runs.Clock;
+  WorkerClock = Listing.Clock;
   WorkerClockAt = Now;
-  Fresh = Ledger.takeListing(Known, AskedAt) || Fresh;
+  HasNews = RunOrders.applyListing(Known, RequestedAt) || HasNews;
   queueOrders();
-  if (Fresh) {
-    HasNews = true;
-    News.notify_all();
+  if (HasNews) {
+    ReportPending = true;
+    ReportNeeded.notify_all();
   }
 }
 
--- a/src/tasks/TaskAgent.h
+++ b/src/tasks/TaskAgent.h
@@ -1,7 +1,3 @@
-/// \file
-/// Stands beside one worker: hears it, carries the coordinator's orders to it
-/// and keeps its lease while the coordinator allows it.
-
 #ifndef BAOBABCOVE_TASKS_TASKAGENT_H
 #define BAOBABCOVE_TASKS_TASKAGENT_H
 
@@ -9,7 +5,7 @@
 #include "base/Ring.h"
 #include "rpc/Rpc.h"
 #include "store/TransactionalStore.h"
-#include "tasks/RunLedger.h"
+#include "tasks/RunOrderTracker.h"
 #include "tasks/WorkerLink.h"
 
 #include <atomic>
@@ -29,12 +25,14 @@
   DataCentreName DataCentre;
 };
 
-/// Makes calls to the life of a worker that has announced itself.
+/// Creates a link to the worker incarnation that sent the heartbeat.
 using LinkFactory =
     std::function<std::unique_ptr<WorkerLink>(const WorkerBeat &)>;
 
-/// A thread each asks the coordinator for orders, tells it news, and lists
-/// the worker's runs; a few carry out orders.
+/// Runs beside one worker: reports its state to the coordinator, carries out
+/// the coordinator's orders, and extends the lease of its runs while the
+/// coordinator grants it. Separate threads poll the coordinator for orders,
+/// send it changes, and list the worker's runs; a few threads carry out orders.
 class TaskAgent {
 public:
   TaskAgent(AgentSettings Settings, TransactionalStore &Kv, LinkFactory Links,
@@ -44,57 +42,57 @@
   void start();
   void stop();
 
-  /// Takes in an announcement. One that is older than what is known is
+  /// Processes a heartbeat of the worker; one that is older than the last is
   /// ignored.
-  void beat(const WorkerBeat &Beat);
+  void beat(const WorkerBeat &Heartbeat);
 
-  /// The worker \p Id has said that it ends now.
+  /// Processes the announcement of the worker \p Id that it is terminating.
   void leave(const std::string &Id);
 
   std::string dump() const;
 
 private:
-  /// An order that waits to be carried out.
-  struct Job {
+  /// An order that is waiting to be carried out.
+  struct QueuedOrder {
     bool Stop = false;
     std::string Task;
     std::uint64_t Run = 0;
   };
 
-  /// What one exchange with the worker needs.
-  struct Call {
+  /// The parameters of one call to the worker.
+  struct WorkerCall {
     std::shared_ptr<WorkerLink> Link;
-    std::string Life;
+    std::string Incarnation;
     Epoch Term;
-    /// The lease to ask for, on the worker's clock; zero for none.
+    /// The lease to request, on the worker's clock; zero for none.
     Milliseconds Deadline{0};
     std::uint64_t Acknowledged = 0;
   };
 
   void attendLoop();
-  void newsLoop();
-  void holdLoop();
+  void reportLoop();
+  void listLoop();
   void orderLoop();
 
   bool exchange(Milliseconds Wait);
   bool findCoordinator();
   wire::TaskReport report(Milliseconds Wait);
-  void takeOrders(const wire::TaskOrders &Orders, BootInstant SentAt);
+  void applyOrders(const wire::TaskOrders &Orders, BootInstant SentAt);
   void queueOrders();
-  bool list(Milliseconds Wait);
-  void takeRuns(const Call &Of, const WorkerRuns &Runs, BootInstant SentAt,
-                BootInstant Now);
-  bool knowsClock() const;
-  Call prepareCall();
-  void carryOut(const Job &Order);
-  void carryOutStart(const Job &Order);
-  void carryOutStop(const Job &Order);
-  /// Whether the worker's newest listing has the run.
+  bool listRuns(Milliseconds Wait);
+  void applyListing(const WorkerCall &Request, const WorkerRuns &Listing,
+                    BootInstant RequestedAt, BootInstant Now);
+  bool hasWorkerClock() const;
+  WorkerCall prepareCall();
+  void dispatch(const QueuedOrder &Order);
+  void sendStart(const QueuedOrder &Order);
+  void sendStop(const QueuedOrder &Order);
+  /// Whether the worker's last listing contains the run.
   bool isRunning(const RunId &Run) const;
-  void forgetWorker();
+  void resetWorkerState();
 
-  /// Orders carried out side by side, so that one without an answer does not
-  /// hold up the others.
+  /// Number of orders carried out concurrently, so that an unanswered call does
+  /// not block the others.
   static constexpr int OrderThreads = 3;
 
   const AgentSettings Settings;
@@ -102,37 +100,38 @@
   const LinkFactory Links;
   Metrics &Figures;
   RpcPeers Peers;
-  const std::uint64_t Life;
+  const std::uint64_t Incarnation;
 
   mutable std::mutex Mutex;
-  std::condition_variable News;
-  std::condition_variable Changed;
+  std::condition_variable ReportNeeded;
+  std::condition_variable StateChanged;
   bool Stopping = false;
-  bool HasNews = false;
+  bool ReportPending = false;
   std::string Coordinator;
   std::uint64_t Sequence = 0;
 
   std::optional<WorkerBeat> Worker;
   std::shared_ptr<WorkerLink> Link;
-  /// Identifies the worker's life; empty while there is none.
+  /// Identifies the worker incarnation; empty before the first heartbeat.
   std::string WorkerName;
-  std::uint64_t WorkersGone = 0;
+  std::uint64_t DepartedWorkers = 0;
   bool Listed = false;
   BootInstant ListedAt{};
   std::vector<wire::RunStatus> Running;
   std::vector<wire::RunEnd> Ends;
-  /// The worker's clock as it was at the latest at that moment.
+  /// The worker's clock in its last listing, which it read no later than at
+  /// WorkerClockAt.
   Milliseconds WorkerClock{0};
   BootInstant WorkerClockAt{};
-  /// Until when the coordinator allows the worker to go on.
+  /// End of the period for which the coordinator allows the runs to continue.
   BootInstant GrantedUntil{};
-  /// Until when a lease that was given may last.
+  /// Latest possible end of any lease that was given to the worker.
   BootInstant LeaseUntil{};
 
   Epoch Term;
   wire::TaskOrders Orders;
-  RunLedger Ledger;
-  Ring<Job> Queue;
+  RunOrderTracker RunOrders;
+  Ring<QueuedOrder> Queue;
   std::vector<std::thread> Threads;
 };
 
--- a/src/tasks/AgentOrders.cpp
+++ b/src/tasks/TaskAgentOrders.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The part of the agent that carries orders to its worker.
+/// The part of TaskAgent that carries out orders on its worker.
 
 #include "base/Log.h"
 #include "base/LogFields.h"
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// How long a thread waits for an order before it looks whether to stop.
-constexpr Milliseconds QueueLook{200};
+/// How often an idle thread checks whether to stop.
+constexpr Milliseconds QueuePollPeriod{200};
 
-const char *nameOf(CallOutcome Outcome) {
+const char *outcomeName(CallOutcome Outcome) {
   switch (Outcome) {
   case CallOutcome::Done:
     return "done";
@@ -30,32 +30,32 @@
 
 void TaskAgent::orderLoop() {
   for (;;) {
-    const auto Order = Queue.pop(QueueLook);
+    const auto Order = Queue.pop(QueuePollPeriod);
     {
       const std::lock_guard<std::mutex> Lock(Mutex);
       if (Stopping)
         return;
     }
     if (Order)
-      carryOut(*Order);
+      dispatch(*Order);
   }
 }
 
-void TaskAgent::carryOut(const Job &Order) {
+void TaskAgent::dispatch(const QueuedOrder &Order) {
   if (Order.Stop)
-    carryOutStop(Order);
+    sendStop(Order);
   else
-    carryOutStart(Order);
+    sendStart(Order);
 }
 
-void TaskAgent::carryOutStart(const Job &Order) {
+void TaskAgent::sendStart(const QueuedOrder &Order) {
   const RunId Run(Order.Task, Order.Run);
   WorkerStart Start;
   bool MayHaveBeenSent = true;
-  Call Of;
+  WorkerCall Request;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    if (!Ledger.wantsStart(Run))
+    if (!RunOrders.isStartPending(Run))
       return;
     for (const wire::StartOrder &Wanted : Orders.starts())
       if (Wanted.task() == Order.Task && Wanted.run() == Order.Run) {
@@ -66,87 +66,87 @@
     if (Start.Task.empty())
       return;
   }
-  if (!knowsClock())
-    list(Milliseconds(0));
+  if (!hasWorkerClock())
+    listRuns(Milliseconds(0));
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    Of = prepareCall();
+    Request = prepareCall();
   }
-  if (!Of.Link)
+  if (!Request.Link)
     return;
-  // Without a lease to give the start is not sent; whether an earlier life of
-  // this agent has sent it is settled by a stop.
+  // Without a lease to grant, the start is not sent. An earlier incarnation of
+  // this agent may have sent it, which a stop resolves.
   OrderAnswer Answer{CallOutcome::Unknown, wire::REFUSAL_REASON_UNSPECIFIED,
-                     "no lease to give"};
-  if (Of.Deadline.count() > 0)
-    Answer = Of.Link->start(Start, Of.Deadline, Of.Term);
+                     "no lease to grant; start not sent"};
+  if (Request.Deadline.count() > 0)
+    Answer = Request.Link->start(Start, Request.Deadline, Request.Term);
   LOG4CPLUS_INFO(logOf("run"), LogFields("start sent")
                                    .add("task", Order.Task)
                                    .add("run", Order.Run)
-                                   .add("epoch", Of.Term)
-                                   .add("deadline_ms", Of.Deadline.count())
-                                   .add("outcome", nameOf(Answer.Outcome))
+                                   .add("epoch", Request.Term)
+                                   .add("deadline_ms", Request.Deadline.count())
+                                   .add("outcome", outcomeName(Answer.Outcome))
                                    .add("why", Answer.Detail));
   if (Answer.Outcome != CallOutcome::Done)
-    list(Milliseconds(0));
+    listRuns(Milliseconds(0));
   const std::lock_guard<std::mutex> Lock(Mutex);
-  if (Of.Life != WorkerName)
+  if (Request.Incarnation != WorkerName)
     return;
-  const bool Runs = isRunning(Run);
+  const bool IsListed = isRunning(Run);
   if (Answer.Outcome == CallOutcome::Refused && !MayHaveBeenSent) {
-    Ledger.refused(Run, Answer.Reason);
-  } else if (Answer.Outcome == CallOutcome::Done || Runs) {
-    Ledger.started(Run);
-    if (!Runs) {
+    RunOrders.markRefused(Run, Answer.Reason);
+  } else if (Answer.Outcome == CallOutcome::Done || IsListed) {
+    RunOrders.markStarted(Run);
+    if (!IsListed) {
       wire::RunStatus Status;
       Status.set_task(Order.Task);
       Status.set_run(Order.Run);
       Running.push_back(std::move(Status));
     }
   } else {
-    Ledger.doubt(Run);
+    RunOrders.markUnknown(Run);
     if (!Queue.tryPush({true, Order.Task, Order.Run}))
-      Ledger.stopFailed(Run, BootClock::now());
+      RunOrders.markStopFailed(Run, BootClock::now());
   }
-  HasNews = true;
-  News.notify_all();
+  ReportPending = true;
+  ReportNeeded.notify_all();
 }
 
-void TaskAgent::carryOutStop(const Job &Order) {
+void TaskAgent::sendStop(const QueuedOrder &Order) {
   const RunId Run(Order.Task, Order.Run);
-  Call Of;
+  WorkerCall Request;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    Of = prepareCall();
+    Request = prepareCall();
   }
-  if (!Of.Link)
+  if (!Request.Link)
     return;
   wire::RunKey Key;
   Key.set_task(Order.Task);
   Key.set_run(Order.Run);
-  const OrderAnswer Answer = Of.Link->stop(Key, Of.Term);
+  const OrderAnswer Answer = Request.Link->stop(Key, Request.Term);
   LOG4CPLUS_INFO(logOf("run"), LogFields("stop sent")
                                    .add("task", Order.Task)
                                    .add("run", Order.Run)
-                                   .add("epoch", Of.Term)
-                                   .add("outcome", nameOf(Answer.Outcome))
+                                   .add("epoch", Request.Term)
+                                   .add("outcome", outcomeName(Answer.Outcome))
                                    .add("why", Answer.Detail));
   const BootInstant Now = BootClock::now();
-  bool Runs = false;
+  bool IsListed = false;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    if (Of.Life != WorkerName)
+    if (Request.Incarnation != WorkerName)
       return;
-    Runs = isRunning(Run);
+    IsListed = isRunning(Run);
     if (Answer.Outcome == CallOutcome::Done)
-      Ledger.stopped(Run, Now);
+      RunOrders.markStopped(Run, Now);
     else
-      Ledger.stopFailed(Run, Now);
+      RunOrders.markStopFailed(Run, Now);
   }
-  // A run that is there tells its end; one that is not is over with the next
-  // listing.
-  if (Answer.Outcome == CallOutcome::Done && !Runs)
-    list(Milliseconds(0));
+  // A run that exists reports its end; one that does not is resolved by the
+  // next listing.
+  if (Answer.Outcome == CallOutcome::Done && !IsListed)
+    listRuns(Milliseconds(0));
 }
 
 bool TaskAgent::isRunning(const RunId &Run) const {
--- a/src/tasks/TaskCoordinator.cpp
+++ b/src/tasks/TaskCoordinator.cpp
@@ -11,24 +11,26 @@
 
 namespace {
 
-/// Rounds without news: due times, waits and leases are looked at this often.
-constexpr Milliseconds Tick{100};
-/// Between attempts to read the store after the role was taken.
-constexpr Milliseconds TakeoverPause{150};
-/// A worker whose agent has not reported for this long gets no new task; an
-/// agent in touch reports twice a second.
-constexpr Milliseconds InTouch{1500};
-/// The slowest clock of a worker (the users' pages: 2 % slow), and the time
-/// for its ends to be carried out.
-constexpr double SlowestClock = 0.98;
-constexpr Milliseconds LapseMargin{500};
-/// Ended jobs are removed this long after they may be forgotten.
+/// Longest time between rounds; due times, waits and leases are checked this
+/// often.
+constexpr Milliseconds RoundPeriod{100};
+/// Delay between attempts to read the store after the role was acquired.
+constexpr Milliseconds TakeoverRetryDelay{150};
+/// A worker whose agent has not reported for this long gets no new task; a
+/// reachable agent reports twice a second.
+constexpr Milliseconds ReportTimeout{1500};
+/// Lowest rate of a worker's clock relative to real time (the platform allows
+/// clocks that are 2 % slow), and the time that a worker takes to end runs
+/// whose lease expired.
+constexpr double SlowestClockRate = 0.98;
+constexpr Milliseconds LeaseExpiryMargin{500};
+/// Ended jobs are removed this long after the end of their retention period.
 constexpr Milliseconds RemovalMargin{30000};
 
-/// Orders are numbered anew in each term, above those of all earlier ones.
+/// Order revisions of each term start above those of all earlier terms.
 constexpr std::uint64_t RevisionsPerTerm = 1000000;
 
-BoardTime boardNow() { return {BootClock::now(), wallClockMs()}; }
+ClockReading readClocks() { return {BootClock::now(), wallClockMs()}; }
 
 } // namespace
 
@@ -36,12 +38,12 @@
                                  CoordinatorSettings Settings,
                                  ConfigSource Config, Metrics &Figures)
     : Kv(Kv), Settings(Settings), Config(std::move(Config)), Figures(Figures),
-      Board(Settings.RemotePenalty), Writer(Kv) {}
+      Tracker(Settings.RemotePenalty), Writer(Kv) {}
 
 TaskCoordinator::~TaskCoordinator() { stop(); }
 
-void TaskCoordinator::start(CoordinatorRole &Of) {
-  Role = &Of;
+void TaskCoordinator::start(CoordinatorRole &NewRole) {
+  Role = &NewRole;
   Thread = std::thread([this] { run(); });
 }
 
@@ -60,9 +62,9 @@
   const NodeId Node(Report.node());
   const Instant Until = monotonicNow() + Milliseconds(Report.wait_ms());
   std::unique_lock<std::mutex> Lock(Mutex);
-  wire::TaskOrders Refused;
+  wire::TaskOrders NotCoordinating;
   if (Stopping || !Role || !Role->term() || !Role->isConfirmed())
-    return Refused;
+    return NotCoordinating;
   WorkerSession &Session = Sessions[Node];
   Session.GrantedAt = BootClock::now();
   const wire::TaskReport &Known = Session.Report;
@@ -70,7 +72,7 @@
       (Known.agent_life() == Report.agent_life() &&
        Known.sequence() < Report.sequence())) {
     Session.Report = Report;
-    Session.Fresh = true;
+    Session.HasNewReport = true;
     HasWork = true;
     Wake.notify_all();
   }
@@ -82,7 +84,7 @@
   });
   const auto Term = Role->term();
   if (Stopping || !Term || !Role->isConfirmed())
-    return Refused;
+    return NotCoordinating;
   wire::TaskOrders Reply;
   if (Serving == Term->Number &&
       Sessions[Node].Orders.worker() == Report.worker())
@@ -123,7 +125,7 @@
   for (;;) {
     {
       std::unique_lock<std::mutex> Lock(Mutex);
-      Wake.wait_for(Lock, Tick, [&] { return Stopping || HasWork; });
+      Wake.wait_for(Lock, RoundPeriod, [&] { return Stopping || HasWork; });
       if (Stopping)
         return;
       HasWork = false;
@@ -136,24 +138,24 @@
   const auto Term = Role->term();
   if (!Term) {
     if (Current != Epoch())
-      resign();
+      stepDown();
     return;
   }
   if (Term->Number != Current && !takeOver(*Term)) {
-    std::this_thread::sleep_for(TakeoverPause);
+    std::this_thread::sleep_for(TakeoverRetryDelay);
     return;
   }
   if (!Role->isConfirmed())
     return;
-  // Nothing is decided on before what was decided earlier is in the store.
-  if (!Board.dirty().empty() && !record(*Term))
+  // Earlier decisions must be in the store before new ones are made.
+  if (!Tracker.dirty().empty() && !persist(*Term))
     return;
   const BootInstant Now = BootClock::now();
   Figures.count("rounds");
-  takeIn();
-  takeReports(Now);
+  drainInbox();
+  applyReports(Now);
   decide(Now);
-  if (record(*Term))
+  if (persist(*Term))
     publish();
 }
 
@@ -169,32 +171,32 @@
     HasWork = true;
     return false;
   }
-  const BoardTime Now = boardNow();
-  Board.clear();
+  const ClockReading Now = readClocks();
+  Tracker.clear();
   for (const StoreItem &Item : All->Items) {
     auto Spec = std::make_shared<wire::TaskJobSpec>();
     if (Item.Key.rfind(keys::Jobs, 0) == 0 && Spec->ParseFromString(Item.Value))
-      Board.addJob(std::move(Spec));
+      Tracker.addJob(std::move(Spec));
   }
   for (const StoreItem &Item : All->Items) {
     wire::TaskJobProgress Stored;
     if (Item.Key.rfind(keys::Progress, 0) == 0 &&
         Stored.ParseFromString(Item.Value))
-      Board.restore(JobId(Item.Key.substr(keys::Progress.size())), Stored,
-                    Item.Revision);
+      Tracker.restore(JobId(Item.Key.substr(keys::Progress.size())), Stored,
+                      Item.Revision);
   }
   for (const StoreItem &Item : All->Items)
     if (Item.Key.rfind(keys::Cancels, 0) == 0)
-      Board.cancel(JobId(Item.Key.substr(keys::Cancels.size())), Now);
+      Tracker.cancel(JobId(Item.Key.substr(keys::Cancels.size())), Now);
   std::size_t Known = 0;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    for (const NodeId &Node : Board.busyNodes())
+    for (const NodeId &Node : Tracker.nodesWithRuns())
       Sessions[Node].GrantedAt = std::max(Sessions[Node].GrantedAt, Now.Boot);
     for (auto &[Node, Session] : Sessions) {
-      Session.Fresh = !Session.Report.node().empty();
+      Session.HasNewReport = !Session.Report.node().empty();
       Session.Orders.Clear();
-      // Agents tell the newest orders by this number, over all terms.
+      // Agents recognize the newest orders by this number across all terms.
       Session.Orders.set_revision(Term.Number.value() * RevisionsPerTerm);
     }
     Known = Sessions.size();
@@ -203,85 +205,86 @@
   }
   LOG4CPLUS_INFO(logOf("coordinator"), LogFields("coordinating")
                                            .add("epoch", Term.Number)
-                                           .add("jobs", Board.jobs().size())
+                                           .add("jobs", Tracker.jobs().size())
                                            .add("agents", Known)
                                            .add("revision", All->Revision));
   return true;
 }
 
-void TaskCoordinator::resign() {
+void TaskCoordinator::stepDown() {
   const std::lock_guard<std::mutex> Lock(Mutex);
   LOG4CPLUS_INFO(logOf("coordinator"),
                  LogFields("no longer coordinating").add("epoch", Current));
   Current = Epoch();
   Serving = Epoch();
-  Board.clear();
+  Tracker.clear();
   Incoming = Inbox();
   Sessions.clear();
   OrdersChanged.notify_all();
 }
 
-void TaskCoordinator::takeIn() {
-  Inbox News;
+void TaskCoordinator::drainInbox() {
+  Inbox Received;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    std::swap(News, Incoming);
+    std::swap(Received, Incoming);
   }
-  for (auto &Spec : News.Jobs)
-    Board.addJob(std::move(Spec));
-  for (const JobId &Id : News.Cancels)
-    Board.cancel(Id, boardNow());
+  for (auto &Spec : Received.Jobs)
+    Tracker.addJob(std::move(Spec));
+  for (const JobId &Id : Received.Cancels)
+    Tracker.cancel(Id, readClocks());
 }
 
-void TaskCoordinator::takeReports(BootInstant Now) {
-  std::vector<std::pair<wire::TaskReport, BootInstant>> News;
-  std::vector<NodeId> Lapsed;
+void TaskCoordinator::applyReports(BootInstant Now) {
+  std::vector<std::pair<wire::TaskReport, BootInstant>> Received;
+  std::vector<NodeId> Expired;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    const std::set<NodeId> Busy = Board.busyNodes();
-    const auto Lapse = Milliseconds(static_cast<std::int64_t>(
-                           double(Settings.Grant.count()) / SlowestClock)) +
-                       LapseMargin;
+    const std::set<NodeId> Busy = Tracker.nodesWithRuns();
+    const auto LeaseExpiry =
+        Milliseconds(static_cast<std::int64_t>(double(Settings.Grant.count()) /
+                                               SlowestClockRate)) +
+        LeaseExpiryMargin;
     for (auto &[Node, Session] : Sessions) {
-      if (Session.Fresh)
-        News.emplace_back(Session.Report, Session.GrantedAt);
-      else if (Now - Session.GrantedAt > Lapse && Busy.count(Node))
-        Lapsed.push_back(Node);
-      Session.Fresh = false;
+      if (Session.HasNewReport)
+        Received.emplace_back(Session.Report, Session.GrantedAt);
+      else if (Now - Session.GrantedAt > LeaseExpiry && Busy.count(Node))
+        Expired.push_back(Node);
+      Session.HasNewReport = false;
     }
   }
-  const BoardTime Time{Now, wallClockMs()};
-  for (const auto &[Report, HeardAt] : News)
-    Board.takeReport(Report, {HeardAt, Time.UnixMs});
-  for (const NodeId &Node : Lapsed)
-    Board.loseNode(Node, Time);
+  const ClockReading Time{Now, wallClockMs()};
+  for (const auto &[Report, ReceivedAt] : Received)
+    Tracker.applyReport(Report, {ReceivedAt, Time.UnixMs});
+  for (const NodeId &Node : Expired)
+    Tracker.expireLeases(Node, Time);
 }
 
 void TaskCoordinator::decide(BootInstant Now) {
-  const BoardTime Time{Now, wallClockMs()};
-  Board.settle(Time);
-  Board.moveStalled(Time);
+  const ClockReading Time{Now, wallClockMs()};
+  Tracker.finishJobs(Time);
+  Tracker.moveStalledRuns(Time);
   const auto Rules = Config();
   if (!Rules)
     return;
-  std::vector<wire::TaskReport> Open;
+  std::vector<wire::TaskReport> Reachable;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
     for (const auto &[Node, Session] : Sessions)
-      if (Session.Report.complete() && Now - Session.GrantedAt < InTouch)
-        Open.push_back(Session.Report);
+      if (Session.Report.complete() && Now - Session.GrantedAt < ReportTimeout)
+        Reachable.push_back(Session.Report);
   }
-  Board.plan(Open, *Rules, Time);
-  Board.keepCheckpoints(Time);
+  Tracker.plan(Reachable, *Rules, Time);
+  Tracker.flushCheckpoints(Time);
 }
 
-bool TaskCoordinator::record(const CoordinatorTerm &Term) {
-  if (!Board.dirty().empty()) {
-    const Instant Began = monotonicNow();
+bool TaskCoordinator::persist(const CoordinatorTerm &Term) {
+  if (!Tracker.dirty().empty()) {
+    const Instant StartedAt = monotonicNow();
     const WriteOutcome Outcome =
-        Writer.write(Term, Board.jobs(), Board.dirty());
+        Writer.write(Term, Tracker.jobs(), Tracker.dirty());
     Figures.sample("progress_write_ms",
-                   double((monotonicNow() - Began).count()));
+                   double((monotonicNow() - StartedAt).count()));
     switch (Outcome) {
     case WriteOutcome::Written:
       break;
@@ -292,12 +295,12 @@
       return false;
     }
   }
-  const std::int64_t Forgotten =
+  const std::int64_t RemoveBefore =
       wallClockMs() - (Settings.StatusKept + RemovalMargin).count();
-  for (auto Job = Board.jobs().begin(); Job != Board.jobs().end(); ++Job)
-    if (Job->second.EndedMs && Job->second.EndedMs < Forgotten) {
+  for (auto Job = Tracker.jobs().begin(); Job != Tracker.jobs().end(); ++Job)
+    if (Job->second.EndedMs && Job->second.EndedMs < RemoveBefore) {
       if (Writer.remove(Term, Job->first) == WriteOutcome::Written)
-        Board.jobs().erase(Job);
+        Tracker.jobs().erase(Job);
       break;
     }
   return true;
@@ -309,7 +312,7 @@
   for (auto &[Node, Session] : Sessions) {
     if (Session.Report.node().empty())
       continue;
-    wire::TaskOrders Orders = Board.ordersFor(Session.Report);
+    wire::TaskOrders Orders = Tracker.ordersFor(Session.Report);
     if (Session.Orders.revision() == 0)
       Session.Orders.set_revision(Serving.value() * RevisionsPerTerm);
     Orders.set_revision(Session.Orders.revision());
--- a/src/tasks/TaskCoordinator.h
+++ b/src/tasks/TaskCoordinator.h
@@ -1,6 +1,3 @@
-/// \file
-/// Decides for all jobs while this process holds the coordinator's role.
-
 #ifndef BAOBABCOVE_TASKS_TASKCOORDINATOR_H
 #define BAOBABCOVE_TASKS_TASKCOORDINATOR_H
 
@@ -8,9 +5,9 @@
 #include "store/TransactionalStore.h"
 #include "tasks/CoordinatorRole.h"
 #include "tasks/JobCatalog.h"
+#include "tasks/JobTracker.h"
 #include "tasks/ProgressWriter.h"
 #include "tasks/QueueConfig.h"
-#include "tasks/TaskBoard.h"
 #include "tasks/WorkerSession.h"
 
 #include <condition_variable>
@@ -24,18 +21,20 @@
 
 namespace baobabcove {
 
-/// What the coordinator is told at its start.
 struct CoordinatorSettings {
-  /// For how long after a report a worker may go on without another answer.
+  /// How long a worker may continue its runs after a report without a further
+  /// answer.
   Milliseconds Grant{6500};
   /// How long ended jobs are kept.
   Milliseconds StatusKept{120000};
-  /// How many times as long work takes away from its data.
+  /// Factor by which work away from its data takes longer.
   double RemotePenalty = 3;
 };
 
-/// One thread takes in reports, jobs and cancels, decides, records and only
-/// then gives orders. A report is answered from its own thread.
+/// Schedules all jobs while this process holds the coordinator role. One thread
+/// processes reports, jobs and cancellations, plans, stores the result and only
+/// then publishes orders. Reports are answered from the threads of their
+/// callers.
 class TaskCoordinator : public CatalogListener {
 public:
   using ConfigSource = std::function<std::shared_ptr<const QueueConfig>()>;
@@ -44,15 +43,15 @@
                   ConfigSource Config, Metrics &Figures);
   ~TaskCoordinator() override;
 
-  /// The role must outlive the coordinator's thread.
+  /// \p Role must outlive the coordinator's thread.
   void start(CoordinatorRole &Role);
   void stop();
 
-  /// Answers an agent: at once when there are orders that it has not seen,
-  /// otherwise after the wait that it asked for.
+  /// Answers a report: immediately if there are orders that the agent has not
+  /// seen, otherwise after the wait that it requested.
   wire::TaskOrders attend(const wire::TaskReport &Report);
 
-  /// The role was taken or lost.
+  /// Processes the acquisition or the loss of the role.
   void onRoleChange();
 
   void onJob(std::shared_ptr<const wire::TaskJobSpec> Spec) override;
@@ -62,7 +61,7 @@
   std::string dump() const;
 
 private:
-  /// What has come in since the last round.
+  /// Input received since the last round.
   struct Inbox {
     std::vector<std::shared_ptr<const wire::TaskJobSpec>> Jobs;
     std::vector<JobId> Cancels;
@@ -71,11 +70,11 @@
   void run();
   void round();
   bool takeOver(const CoordinatorTerm &Term);
-  void resign();
-  void takeIn();
-  void takeReports(BootInstant Now);
+  void stepDown();
+  void drainInbox();
+  void applyReports(BootInstant Now);
   void decide(BootInstant Now);
-  bool record(const CoordinatorTerm &Term);
+  bool persist(const CoordinatorTerm &Term);
   void publish();
 
   TransactionalStore &Kv;
@@ -83,7 +82,7 @@
   const ConfigSource Config;
   Metrics &Figures;
   CoordinatorRole *Role = nullptr;
-  std::function<void()> SeatChanged;
+  std::function<void()> RoleKeyChanged;
 
   mutable std::mutex Mutex;
   std::condition_variable Wake;
@@ -92,12 +91,12 @@
   bool HasWork = false;
   Inbox Incoming;
   std::map<NodeId, WorkerSession> Sessions;
-  /// The epoch that orders are given under; zero while there are none.
+  /// The epoch under which orders are given; zero while none are.
   Epoch Serving;
 
-  // Used by the coordinator's thread alone.
+  // Used by the coordinator's thread only.
   Epoch Current;
-  TaskBoard Board;
+  JobTracker Tracker;
   ProgressWriter Writer;
   std::thread Thread;
 };
--- a/src/tasks/TaskJob.cpp
+++ b/src/tasks/TaskJob.cpp
@@ -24,8 +24,8 @@
   return TaskName{JobId(Parts[0]), Numbers[0], Numbers[1], Numbers[2]};
 }
 
-TaskJob::TaskJob(std::shared_ptr<const wire::TaskJobSpec> Of)
-    : Spec(std::move(Of)),
+TaskJob::TaskJob(std::shared_ptr<const wire::TaskJobSpec> JobSpec)
+    : Spec(std::move(JobSpec)),
       Occurrences(std::max<std::uint32_t>(1, Spec->repeat_count())) {
   for (const wire::StepSpec &Step : Spec->steps()) {
     StepOffsets.push_back(TasksPerOccurrence);
@@ -43,7 +43,7 @@
     TaskState &Task = Tasks[*At];
     Task.Phase = Record.phase();
     Task.Run = Record.run();
-    Task.Worker = WorkerLife(Record.worker());
+    Task.Worker = WorkerIncarnation(Record.worker());
     Task.Failures = Record.failures();
     Task.Checkpoint = Record.checkpoint();
   }
@@ -90,7 +90,7 @@
   const std::size_t Within = At % TasksPerOccurrence;
   const auto Next =
       std::upper_bound(StepOffsets.begin(), StepOffsets.end(), Within);
-  // Steps without tasks share an offset; the last of them holds the task.
+  // Steps without tasks share an offset; the task belongs to the last of them.
   const auto Step = static_cast<std::uint32_t>(Next - StepOffsets.begin() - 1);
   return {id(), static_cast<std::uint32_t>(At / TasksPerOccurrence), Step,
           static_cast<std::uint32_t>(Within - StepOffsets[Step])};
@@ -140,7 +140,7 @@
   });
 }
 
-JobStatus JobMarks::status() const {
+JobStatus JobFlags::status() const {
   if (Completed)
     return JobStatus::Completed;
   if (Failed)
--- a/src/tasks/TaskJob.h
+++ b/src/tasks/TaskJob.h
@@ -1,6 +1,3 @@
-/// \file
-/// A job of steps and tasks, and how far it has come.
-
 #ifndef BAOBABCOVE_TASKS_TASKJOB_H
 #define BAOBABCOVE_TASKS_TASKJOB_H
 
@@ -16,10 +13,10 @@
 
 namespace baobabcove {
 
-/// The life of a worker: its id and the moment it began.
-using WorkerLife = StrongString<struct WorkerLifeTag>;
+/// Identifies a worker incarnation by its node, its id and its start time.
+using WorkerIncarnation = StrongString<struct WorkerIncarnationTag>;
 
-/// Names one task of one occurrence of a job.
+/// Identifies one task of one occurrence of a job.
 struct TaskName {
   JobId Job;
   std::uint32_t Occurrence = 0;
@@ -27,88 +24,90 @@
   std::uint32_t Index = 0;
 };
 
-/// "JOB.OCCURRENCE.STEP.INDEX".
+/// Returns "JOB.OCCURRENCE.STEP.INDEX".
 std::string toText(const TaskName &Name);
 
-/// Reads the text of a task name; nothing when it is not one.
+/// Parses a task name. Returns nothing if \p Text is not one.
 std::optional<TaskName> parseTaskName(const std::string &Text);
 
-/// One task. What stands under "not stored" is learned anew from the agents.
+/// The state of one task. Fields under "Not stored" are restored from the
+/// reports of the agents.
 struct TaskState {
   wire::TaskPhase Phase = wire::TASK_WAITING;
   std::uint64_t Run = 0;
-  WorkerLife Worker;
+  WorkerIncarnation Worker;
   std::uint32_t Failures = 0;
   std::string Checkpoint;
 
   // Not stored.
-  /// The worker has listed the run.
-  bool Seen = false;
-  bool StopWanted = false;
-  /// The life of the agent that the start was first ordered from; zero for a
-  /// run that an earlier coordinator ordered.
-  std::uint64_t OrderedFrom = 0;
+  /// Whether the worker has listed the run.
+  bool Listed = false;
+  bool StopRequested = false;
+  /// Incarnation of the agent that the start was first sent to; zero for a run
+  /// that an earlier coordinator ordered.
+  std::uint64_t OrderedByAgent = 0;
   BootInstant PlacedAt{};
-  BootInstant SeenAt{};
+  BootInstant LastListedAt{};
   std::uint32_t Percent = 0;
-  BootInstant PercentAt{};
+  BootInstant PercentChangedAt{};
 };
 
 enum class JobStatus { Pending, Running, Completed, Failed, Cancelled };
 
-/// What has become of a job.
-struct JobMarks {
+/// Flags from which the status of a job follows.
+struct JobFlags {
   bool Cancelled = false;
   bool Failed = false;
   bool Completed = false;
-  /// A task has been started.
+  /// Whether any task has been started.
   bool Begun = false;
 
-  /// What callers are shown: a job that was done or failed before it was
-  /// cancelled stays so.
+  /// Returns the status for clients. A job that completed or failed before its
+  /// cancellation keeps that status.
   JobStatus status() const;
 };
 
 /// A job with the state of all its tasks.
-class TaskJob : public JobMarks {
+class TaskJob : public JobFlags {
 public:
   explicit TaskJob(std::shared_ptr<const wire::TaskJobSpec> Spec);
 
   const wire::TaskJobSpec &spec() const { return *Spec; }
   JobId id() const { return JobId(Spec->id()); }
 
-  /// Takes over stored progress. Rows that name no task of the job are left
-  /// out.
+  /// Restores stored progress. Records that match no task of the job are
+  /// skipped.
   void restore(const wire::TaskJobProgress &Stored);
-  /// What has to be stored: tasks that were never started are left out.
+  /// Returns the progress to store; tasks that were never started are omitted.
   wire::TaskJobProgress progress() const;
 
   std::uint32_t occurrences() const { return Occurrences; }
   std::size_t size() const { return Tasks.size(); }
   TaskState &task(std::size_t At) { return Tasks[At]; }
   const TaskState &task(std::size_t At) const { return Tasks[At]; }
-  /// Position of a task, or nothing when the job has no such task.
+  /// Returns the index of a task, or nothing if the job has no such task.
   std::optional<std::size_t> position(const TaskName &Name) const;
   TaskName name(std::size_t At) const;
   const wire::StepSpec &step(std::size_t At) const;
-  /// Position of the first task of a step of an occurrence.
+  /// Returns the index of the first task of a step in one occurrence.
   std::size_t first(std::uint32_t Occurrence, std::uint32_t Step) const;
 
   bool isStepDone(std::uint32_t Occurrence, std::uint32_t Step) const;
-  /// Whether tasks of the step may start at \p NowUnixMs.
+  /// Whether the tasks of the step may start at \p NowUnixMs.
   bool isStepReady(std::uint32_t Occurrence, std::uint32_t Step,
                    std::int64_t NowUnixMs) const;
-  /// Unix time at which an occurrence may start.
+  /// Returns the Unix time in milliseconds from which an occurrence may start.
   std::int64_t dueMs(std::uint32_t Occurrence) const;
 
-  /// Whether a run may be going on anywhere.
+  /// Whether any run may still exist.
   bool hasPlacedTasks() const;
   bool areAllDone() const;
   bool isOver() const { return Completed || Failed || Cancelled; }
 
-  /// Unix time at which the last task of the ended job was gone; zero before.
+  /// Unix time in milliseconds at which the last run of an ended job was gone;
+  /// zero before.
   std::int64_t EndedMs = 0;
-  /// The store's revision of the stored progress; zero when there is none.
+  /// Store revision of the progress; zero if none is stored.
   std::int64_t Revision = 0;
 
 private:
--- a/src/tasks/TaskPlanner.cpp
+++ b/src/tasks/TaskPlanner.cpp
@@ -10,73 +10,74 @@
 
 namespace {
 
-/// Whole workers are left to urgent units only while at least this share of
-/// the accelerators is taken: nothing is held back while most room is free.
-constexpr double BusyShare = 0.6;
+/// Workers are kept fully free for urgent units only while at least this share
+/// of the accelerators is in use, so that nothing is held back on a mostly idle
+/// cell.
+constexpr double BusyThreshold = 0.6;
 
-constexpr double Never = std::numeric_limits<double>::infinity();
+constexpr double Infinity = std::numeric_limits<double>::infinity();
 
-/// Where the tasks of one unit go, in the order of its tasks.
-using Spots = std::vector<std::size_t>;
+/// Worker indices for the tasks of one unit, in the order of its tasks.
+using Assignment = std::vector<std::size_t>;
 
-/// How room can be made for a unit: where it goes, and what is stopped.
-struct Way {
-  Spots Where;
+/// Placement of a unit and the runs to preempt for it.
+struct PreemptionPlan {
+  Assignment Placement;
   std::vector<std::size_t> Victims;
   double Loss = 0;
 };
 
 class Planner {
 public:
-  explicit Planner(PlanInput Given) : In(std::move(Given)) {
+  explicit Planner(PlanInput Initial) : In(std::move(Initial)) {
     std::stable_sort(
         In.Units.begin(), In.Units.end(),
         [](const PlanUnit &L, const PlanUnit &R) { return L.Rank < R.Rank; });
     for (const PlanWorker &Worker : In.Workers) {
       Free.push_back(Worker.Free);
-      Leaving.push_back(Worker.Leaving);
+      Releasing.push_back(Worker.Releasing);
     }
-    Stopped.resize(In.Stoppable.size());
+    Stopped.resize(In.Preemptible.size());
   }
 
   TaskPlan run() {
     for (const PlanUnit &Unit : In.Units) {
-      auto Where = fit(Unit, Free, keptFor(Unit));
-      if (!Where)
-        Where = find(Unit, Free, Unit.MayRunFar);
-      if (Where)
-        start(Unit, *Where);
+      auto Placement = fitOn(Unit, Free, reservedFor(Unit));
+      if (!Placement)
+        Placement = findPlacement(Unit, Free, Unit.MayRunRemote);
+      if (Placement)
+        start(Unit, *Placement);
       else if (Unit.Guaranteed)
-        makeRoom(Unit);
+        reserveOrPreempt(Unit);
     }
     return std::move(Out);
   }
 
 private:
-  using Rooms = std::vector<Room>;
-  /// Whether a worker, by its position, may be used.
-  using Allowed = std::function<bool(std::size_t)>;
+  using ResourceList = std::vector<Resources>;
+  /// Whether the worker with an index may be used.
+  using WorkerFilter = std::function<bool(std::size_t)>;
 
-  static bool anywhere(std::size_t) { return true; }
+  static bool anyWorker(std::size_t) { return true; }
 
-  Allowed inRack(const RackName &Rack) const {
+  WorkerFilter inRack(const RackName &Rack) const {
     return [this, Rack](std::size_t W) { return In.Workers[W].Rack == Rack; };
   }
 
-  /// The workers on which an earlier round made room for \p Unit.
-  Allowed keptFor(const PlanUnit &Unit) const {
-    const auto Kept = In.Kept.find({Unit.Job, Unit.Tasks.front()});
-    if (Kept == In.Kept.end())
+  /// Selects the workers that an earlier round reserved for \p Unit.
+  WorkerFilter reservedFor(const PlanUnit &Unit) const {
+    const auto Reserved = In.Reservations.find({Unit.Job, Unit.Tasks.front()});
+    if (Reserved == In.Reservations.end())
       return [](std::size_t) { return false; };
-    return [this, &Lives = Kept->second](std::size_t W) {
-      return std::find(Lives.begin(), Lives.end(), In.Workers[W].Life) !=
-             Lives.end();
+    return [this, &Incarnations = Reserved->second](std::size_t W) {
+      return std::find(Incarnations.begin(), Incarnations.end(),
+                       In.Workers[W].Incarnation) != Incarnations.end();
     };
   }
 
-  bool suits(const PlanWorker &Worker, const PlanUnit &Unit) const {
+  bool isEligible(const PlanWorker &Worker, const PlanUnit &Unit) const {
     const std::string &Label = Unit.Step->required_label();
-    return Worker.Open && Worker.Service == Unit.Service &&
+    return Worker.AcceptsTasks && Worker.Service == Unit.Service &&
            (Label.empty() ||
             std::find(Worker.Labels.begin(), Worker.Labels.end(), Label) !=
                 Worker.Labels.end());
@@ -87,40 +88,47 @@
     return Found == In.OnWorker.end() ? 0 : Found->second;
   }
 
-  /// The room that is left when \p Need is taken, as a share of the worker's;
-  /// the fullest worker that still fits keeps the others whole.
-  double leftover(std::size_t W, const Room &Offered, const Room &Need) const {
-    const Room &Whole = In.Workers[W].Capacity;
+  /// Returns the resources left after \p Need is taken, relative to the
+  /// worker's capacity. Best fit: a low score fills the fullest worker and
+  /// keeps the others fully free.
+  double leftoverScore(std::size_t W, const Resources &Available,
+                       const Resources &Need) const {
+    const Resources &Capacity = In.Workers[W].Capacity;
     const auto Share = [](std::int64_t Left, std::int64_t Of) {
       return Of > 0 ? double(Left) / double(Of) : 0.0;
     };
-    return 2 * Share(Offered.Accelerators - Need.Accelerators,
-                     Whole.Accelerators) +
-           Share(Offered.MemoryMb - Need.MemoryMb, Whole.MemoryMb) +
-           Share(Offered.MilliCores - Need.MilliCores, Whole.MilliCores);
+    return 2 * Share(Available.Accelerators - Need.Accelerators,
+                     Capacity.Accelerators) +
+           Share(Available.MemoryMb - Need.MemoryMb, Capacity.MemoryMb) +
+           Share(Available.MilliCores - Need.MilliCores, Capacity.MilliCores);
   }
 
-  /// Places all tasks of \p Unit on workers for which \p May holds, best fit
-  /// first, in the room that \p Offered holds.
-  std::optional<Spots> fit(const PlanUnit &Unit, Rooms Offered,
-                           const Allowed &May) const {
-    const Room Need = roomOf(*Unit.Step);
+  /// Places all tasks of \p Unit on workers that pass \p Filter, best fit
+  /// first, within the resources in \p Available. Returns nothing if they do
+  /// not all fit.
+  std::optional<Assignment> fitOn(const PlanUnit &Unit, ResourceList Available,
+                                  const WorkerFilter &Filter) const {
+    const Resources Need = resourcesOf(*Unit.Step);
     const std::uint32_t Limit = Unit.Step->spread_limit();
     std::map<std::size_t, std::size_t> Taken;
-    const bool Leaves = Unit.LeavesWhole && takenShare(Offered) >= BusyShare;
-    std::size_t Whole = Leaves ? wholeWorkers(Unit, Offered) : 0;
-    Spots Where;
+    const bool KeepsSomeFree =
+        Unit.KeepFullyFree && usedShare(Available) >= BusyThreshold;
+    std::size_t FullyFreeWorkers =
+        KeepsSomeFree ? countFullyFree(Unit, Available) : 0;
+    Assignment Placement;
     for (std::size_t T = 0; T < Unit.Tasks.size(); ++T) {
       std::size_t Best = In.Workers.size();
-      double BestScore = Never;
+      double BestScore = Infinity;
       for (std::size_t W = 0; W < In.Workers.size(); ++W) {
-        if (!May(W) || !Offered[W].holds(Need) || !suits(In.Workers[W], Unit))
+        if (!Filter(W) || !Available[W].covers(Need) ||
+            !isEligible(In.Workers[W], Unit))
           continue;
         if (Limit && countOn(Unit, W) + Taken[W] >= Limit)
           continue;
-        if (Leaves && isWhole(W, Offered[W]) && Whole <= Unit.LeavesWhole)
+        if (KeepsSomeFree && isFullyFree(W, Available[W]) &&
+            FullyFreeWorkers <= Unit.KeepFullyFree)
           continue;
-        const double Score = leftover(W, Offered[W], Need);
+        const double Score = leftoverScore(W, Available[W], Need);
         if (Score < BestScore) {
           Best = W;
           BestScore = Score;
@@ -128,177 +136,188 @@
       }
       if (Best == In.Workers.size())
         return std::nullopt;
-      Whole -= Whole && isWhole(Best, Offered[Best]) ? 1 : 0;
-      Offered[Best] -= Need;
+      FullyFreeWorkers -=
+          FullyFreeWorkers && isFullyFree(Best, Available[Best]) ? 1 : 0;
+      Available[Best] -= Need;
       ++Taken[Best];
-      Where.push_back(Best);
+      Placement.push_back(Best);
     }
-    return Where;
+    return Placement;
   }
 
-  /// Whether all accelerators of a worker are free.
-  bool isWhole(std::size_t W, const Room &Offered) const {
+  /// Whether all accelerators of a worker are available.
+  bool isFullyFree(std::size_t W, const Resources &Available) const {
     const std::int64_t All = In.Workers[W].Capacity.Accelerators;
-    return All > 0 && Offered.Accelerators == All;
+    return All > 0 && Available.Accelerators == All;
   }
 
-  /// The share of all accelerators that is not offered.
-  double takenShare(const Rooms &Offered) const {
+  /// Returns the share of all accelerators that is not available.
+  double usedShare(const ResourceList &Available) const {
     std::int64_t All = 0;
     std::int64_t Left = 0;
     for (std::size_t W = 0; W < In.Workers.size(); ++W) {
       All += In.Workers[W].Capacity.Accelerators;
-      Left += Offered[W].Accelerators;
+      Left += Available[W].Accelerators;
     }
     return All > 0 ? 1 - double(Left) / double(All) : 0;
   }
 
-  std::size_t wholeWorkers(const PlanUnit &Unit, const Rooms &Offered) const {
+  std::size_t countFullyFree(const PlanUnit &Unit,
+                             const ResourceList &Available) const {
     std::size_t Count = 0;
     for (std::size_t W = 0; W < In.Workers.size(); ++W)
-      Count += isWhole(W, Offered[W]) && suits(In.Workers[W], Unit) ? 1 : 0;
+      Count += isFullyFree(W, Available[W]) && isEligible(In.Workers[W], Unit)
+                   ? 1
+                   : 0;
     return Count;
   }
 
-  /// The groups of workers within which \p Unit takes no longer than it must.
-  std::vector<Allowed> nearGroups(const PlanUnit &Unit) const {
+  /// Returns the groups of workers within which \p Unit runs without the remote
+  /// penalty.
+  std::vector<WorkerFilter> localityGroups(const PlanUnit &Unit) const {
     if (!Unit.Step->data_rack().empty())
       return {inRack(RackName(Unit.Step->data_rack()))};
     if (!Unit.Step->same_rack())
-      return {&anywhere};
+      return {&anyWorker};
     std::set<RackName> Racks;
     for (const PlanWorker &Worker : In.Workers)
-      if (suits(Worker, Unit))
+      if (isEligible(Worker, Unit))
         Racks.insert(Worker.Rack);
-    std::vector<Allowed> Groups;
+    std::vector<WorkerFilter> Groups;
     Groups.reserve(Racks.size());
     for (const RackName &Rack : Racks)
       Groups.push_back(inRack(Rack));
     return Groups;
   }
 
-  double leftoverOf(const PlanUnit &Unit, const Rooms &Offered,
-                    const Spots &Where) const {
+  double totalLeftoverScore(const PlanUnit &Unit, const ResourceList &Available,
+                            const Assignment &Placement) const {
     double Sum = 0;
-    for (std::size_t W : Where)
-      Sum += leftover(W, Offered[W], roomOf(*Unit.Step));
+    for (std::size_t W : Placement)
+      Sum += leftoverScore(W, Available[W], resourcesOf(*Unit.Step));
     return Sum;
   }
 
-  /// Where \p Unit goes: near its data and in one rack as it asks, or, with
-  /// \p Far, anywhere if there is no better place.
-  std::optional<Spots> find(const PlanUnit &Unit, const Rooms &Offered,
-                            bool Far) const {
-    std::optional<Spots> Best;
-    double BestScore = Never;
-    for (const Allowed &Group : nearGroups(Unit)) {
-      auto Where = fit(Unit, Offered, Group);
-      const double Score = Where ? leftoverOf(Unit, Offered, *Where) : Never;
+  /// Finds a placement for \p Unit near its data and in one rack as it requires
+  /// or, with \p AllowRemote, anywhere if there is none.
+  std::optional<Assignment> findPlacement(const PlanUnit &Unit,
+                                          const ResourceList &Available,
+                                          bool AllowRemote) const {
+    std::optional<Assignment> Best;
+    double BestScore = Infinity;
+    for (const WorkerFilter &Group : localityGroups(Unit)) {
+      auto Placement = fitOn(Unit, Available, Group);
+      const double Score = Placement
+                               ? totalLeftoverScore(Unit, Available, *Placement)
+                               : Infinity;
       if (Score < BestScore) {
-        Best = std::move(Where);
+        Best = std::move(Placement);
         BestScore = Score;
       }
     }
-    if (!Best && Far)
-      return fit(Unit, Offered, &anywhere);
+    if (!Best && AllowRemote)
+      return fitOn(Unit, Available, &anyWorker);
     return Best;
   }
 
-  void take(const PlanUnit &Unit, const Spots &Where) {
-    for (std::size_t W : Where) {
-      Free[W] -= roomOf(*Unit.Step);
+  void reserve(const PlanUnit &Unit, const Assignment &Placement) {
+    for (std::size_t W : Placement) {
+      Free[W] -= resourcesOf(*Unit.Step);
       ++In.OnWorker[{Unit.StepKey, W}];
     }
   }
 
-  void start(const PlanUnit &Unit, const Spots &Where) {
-    for (std::size_t T = 0; T < Where.size(); ++T)
-      Out.Starts.push_back({Unit.Job, Unit.Tasks[T], Where[T]});
-    take(Unit, Where);
+  void start(const PlanUnit &Unit, const Assignment &Placement) {
+    for (std::size_t T = 0; T < Placement.size(); ++T)
+      Out.Starts.push_back({Unit.Job, Unit.Tasks[T], Placement[T]});
+    reserve(Unit, Placement);
   }
 
-  /// The room once all stopping runs are gone.
-  Rooms afterStops() const {
-    Rooms After = Free;
+  /// Returns the free resources once all stopping runs have ended.
+  ResourceList afterReleases() const {
+    ResourceList After = Free;
     for (std::size_t W = 0; W < After.size(); ++W)
-      After[W] += Leaving[W];
+      After[W] += Releasing[W];
     return After;
   }
 
-  /// Keeps the room that stopping runs will leave, or stops the runs that
-  /// are cheapest to lose. A choice of an earlier round is kept while it
-  /// holds, so that no more runs are stopped elsewhere while others fill the
-  /// first place again.
-  void makeRoom(const PlanUnit &Unit) {
-    auto Where = fit(Unit, afterStops(), keptFor(Unit));
-    if (!Where)
-      Where = find(Unit, afterStops(), Unit.MayRunFar);
-    if (!Where && Unit.MayStopOthers)
-      Where = stopOthers(Unit);
-    if (!Where)
+  /// Reserves resources that stopping runs will release, or preempts the runs
+  /// with the least loss. A reservation of an earlier round is kept while it
+  /// remains possible; otherwise more runs would be preempted elsewhere while
+  /// other tasks fill the first place again.
+  void reserveOrPreempt(const PlanUnit &Unit) {
+    auto Placement = fitOn(Unit, afterReleases(), reservedFor(Unit));
+    if (!Placement)
+      Placement = findPlacement(Unit, afterReleases(), Unit.MayRunRemote);
+    if (!Placement && Unit.MayPreempt)
+      Placement = preempt(Unit);
+    if (!Placement)
       return;
-    take(Unit, *Where);
-    std::vector<WorkerLife> &Kept = Out.Kept[{Unit.Job, Unit.Tasks.front()}];
-    for (std::size_t W : *Where)
-      Kept.push_back(In.Workers[W].Life);
+    reserve(Unit, *Placement);
+    std::vector<WorkerIncarnation> &Reserved =
+        Out.Reservations[{Unit.Job, Unit.Tasks.front()}];
+    for (std::size_t W : *Placement)
+      Reserved.push_back(In.Workers[W].Incarnation);
   }
 
-  std::optional<Spots> stopOthers(const PlanUnit &Unit) {
-    std::optional<Way> Best;
-    for (const Allowed &Group : nearGroups(Unit))
-      if (auto Found = wayWithin(Unit, Group);
+  std::optional<Assignment> preempt(const PlanUnit &Unit) {
+    std::optional<PreemptionPlan> Best;
+    for (const WorkerFilter &Group : localityGroups(Unit))
+      if (auto Found = planPreemption(Unit, Group);
           Found && (!Best || Found->Loss < Best->Loss))
         Best = std::move(Found);
     if (!Best)
-      Best = wayWithin(Unit, &anywhere);
+      Best = planPreemption(Unit, &anyWorker);
     if (!Best)
       return std::nullopt;
     for (std::size_t Victim : Best->Victims)
-      stop(Victim);
-    return Best->Where;
+      stopRun(Victim);
+    return Best->Placement;
   }
 
-  /// The runs that have to be stopped for \p Unit within a group of workers.
-  std::optional<Way> wayWithin(const PlanUnit &Unit, const Allowed &May) const {
-    Way Found;
-    Rooms After = afterStops();
-    std::vector<bool> Gone = Stopped;
+  /// Returns the preemptions that let \p Unit fit on workers that pass
+  /// \p Filter, or nothing.
+  std::optional<PreemptionPlan>
+  planPreemption(const PlanUnit &Unit, const WorkerFilter &Filter) const {
+    PreemptionPlan Found;
+    ResourceList After = afterReleases();
+    std::vector<bool> Removed = Stopped;
     for (;;) {
-      if (auto Where = fit(Unit, After, May)) {
-        Found.Where = std::move(*Where);
+      if (auto Placement = fitOn(Unit, After, Filter)) {
+        Found.Placement = std::move(*Placement);
         break;
       }
-      const auto Victim = cheapest(Unit, After, Gone, May);
+      const auto Victim = cheapestVictim(Unit, After, Removed, Filter);
       if (!Victim)
         return std::nullopt;
       Found.Victims.push_back(*Victim);
-      for (std::size_t R : groupOf(*Victim)) {
-        Gone[R] = true;
-        After[In.Stoppable[R].Worker] += In.Stoppable[R].Takes;
+      for (std::size_t R : gangOf(*Victim)) {
+        Removed[R] = true;
+        After[In.Preemptible[R].Worker] += In.Preemptible[R].Usage;
       }
     }
     prune(Found);
     for (std::size_t Victim : Found.Victims)
-      Found.Loss += In.Stoppable[Victim].Loss;
+      Found.Loss += In.Preemptible[Victim].Loss;
     return Found;
   }
 
-  /// The runs that end with \p Run: the members of its gang.
-  std::vector<std::size_t> groupOf(std::size_t Run) const {
+  /// Returns \p Run and the other members of its gang, which end with it.
+  std::vector<std::size_t> gangOf(std::size_t Run) const {
     std::vector<std::size_t> Group;
-    for (std::size_t R = 0; R < In.Stoppable.size(); ++R)
-      if (R == Run || (!In.Stoppable[R].Gang.empty() &&
-                       In.Stoppable[R].Gang == In.Stoppable[Run].Gang))
+    for (std::size_t R = 0; R < In.Preemptible.size(); ++R)
+      if (R == Run || (!In.Preemptible[R].Gang.empty() &&
+                       In.Preemptible[R].Gang == In.Preemptible[Run].Gang))
         Group.push_back(R);
     return Group;
   }
 
-  /// Leaves out victims that free nothing where the unit goes.
-  void prune(Way &Found) const {
+  /// Removes victims that free nothing on the chosen workers.
+  void prune(PreemptionPlan &Found) const {
     const auto Frees = [&](std::size_t Victim) {
-      for (std::size_t R : groupOf(Victim))
-        if (std::find(Found.Where.begin(), Found.Where.end(),
-                      In.Stoppable[R].Worker) != Found.Where.end())
+      for (std::size_t R : gangOf(Victim))
+        if (std::find(Found.Placement.begin(), Found.Placement.end(),
+                      In.Preemptible[R].Worker) != Found.Placement.end())
           return true;
       return false;
     };
@@ -308,18 +327,20 @@
         Found.Victims.end());
   }
 
-  /// The first run to stop on the worker that needs the least loss to hold
-  /// one more task of \p Unit.
-  std::optional<std::size_t> cheapest(const PlanUnit &Unit, const Rooms &After,
-                                      const std::vector<bool> &Gone,
-                                      const Allowed &May) const {
-    const Room Need = roomOf(*Unit.Step);
-    double BestLoss = Never;
+  /// Returns the first run to preempt on the worker that needs the least loss
+  /// to fit one more task of \p Unit.
+  std::optional<std::size_t> cheapestVictim(const PlanUnit &Unit,
+                                            const ResourceList &After,
+                                            const std::vector<bool> &Removed,
+                                            const WorkerFilter &Filter) const {
+    const Resources Need = resourcesOf(*Unit.Step);
+    double BestLoss = Infinity;
     std::optional<std::size_t> Best;
     for (std::size_t W = 0; W < In.Workers.size(); ++W) {
-      if (!May(W) || !suits(In.Workers[W], Unit) || After[W].holds(Need))
+      if (!Filter(W) || !isEligible(In.Workers[W], Unit) ||
+          After[W].covers(Need))
         continue;
-      const auto [Loss, First] = lossToHold(W, After[W], Need, Gone);
+      const auto [Loss, First] = preemptionLoss(W, After[W], Need, Removed);
       if (First && Loss < BestLoss) {
         BestLoss = Loss;
         Best = First;
@@ -328,67 +349,68 @@
     return Best;
   }
 
-  /// What it costs to stop runs on worker \p W until \p Need fits, and the
-  /// first of them.
+  /// Returns the loss of preempting runs on worker \p W until \p Need fits, and
+  /// the first of these runs.
   std::pair<double, std::optional<std::size_t>>
-  lossToHold(std::size_t W, Room Offered, const Room &Need,
-             const std::vector<bool> &Gone) const {
+  preemptionLoss(std::size_t W, Resources Available, const Resources &Need,
+                 const std::vector<bool> &Removed) const {
     std::vector<std::size_t> Runs;
-    for (std::size_t R = 0; R < In.Stoppable.size(); ++R)
-      if (In.Stoppable[R].Worker == W && !Gone[R])
+    for (std::size_t R = 0; R < In.Preemptible.size(); ++R)
+      if (In.Preemptible[R].Worker == W && !Removed[R])
         Runs.push_back(R);
     std::sort(Runs.begin(), Runs.end(), [&](std::size_t L, std::size_t R) {
-      return In.Stoppable[L].Loss < In.Stoppable[R].Loss;
+      return In.Preemptible[L].Loss < In.Preemptible[R].Loss;
     });
     double Loss = 0;
     std::optional<std::size_t> First;
     for (std::size_t R : Runs) {
-      if (Offered.holds(Need))
+      if (Available.covers(Need))
         break;
       if (!First)
         First = R;
-      Loss += In.Stoppable[R].Loss;
-      Offered += In.Stoppable[R].Takes;
+      Loss += In.Preemptible[R].Loss;
+      Available += In.Preemptible[R].Usage;
     }
-    return Offered.holds(Need) ? std::make_pair(Loss, First)
-                               : std::make_pair(Never, std::nullopt);
+    return Available.covers(Need) ? std::make_pair(Loss, First)
+                                  : std::make_pair(Infinity, std::nullopt);
   }
 
-  void stop(std::size_t Victim) {
-    for (std::size_t R : groupOf(Victim)) {
+  void stopRun(std::size_t Victim) {
+    for (std::size_t R : gangOf(Victim)) {
       if (Stopped[R])
         continue;
       Stopped[R] = true;
-      Leaving[In.Stoppable[R].Worker] += In.Stoppable[R].Takes;
+      Releasing[In.Preemptible[R].Worker] += In.Preemptible[R].Usage;
     }
-    Out.Stops.push_back({In.Stoppable[Victim].Job, In.Stoppable[Victim].Task});
+    Out.Stops.push_back(
+        {In.Preemptible[Victim].Job, In.Preemptible[Victim].Task});
   }
 
   PlanInput In;
-  /// Room by worker, as it is while the plan is made.
-  Rooms Free;
-  Rooms Leaving;
+  /// Resources by worker, updated while the plan is made.
+  ResourceList Free;
+  ResourceList Releasing;
   TaskPlan Out;
   std::vector<bool> Stopped;
 };
 
 } // namespace
 
-Room &Room::operator+=(const Room &Other) {
+Resources &Resources::operator+=(const Resources &Other) {
   MilliCores += Other.MilliCores;
   MemoryMb += Other.MemoryMb;
   Accelerators += Other.Accelerators;
   return *this;
 }
 
-Room &Room::operator-=(const Room &Other) {
+Resources &Resources::operator-=(const Resources &Other) {
   MilliCores -= Other.MilliCores;
   MemoryMb -= Other.MemoryMb;
   Accelerators -= Other.Accelerators;
   return *this;
 }
 
-bool Room::holds(const Room &Need) const {
+bool Resources::covers(const Resources &Need) const {
   const auto Holds = [](std::int64_t Free, std::int64_t Wanted) {
     return Wanted <= 0 || Free >= Wanted;
   };
@@ -396,7 +418,7 @@
          Holds(Accelerators, Need.Accelerators);
 }
 
-Room roomOf(const wire::StepSpec &Step) {
+Resources resourcesOf(const wire::StepSpec &Step) {
   return {Step.fills() ? 0 : Step.milli_cores(), Step.memory_mb(),
           Step.accelerators()};
 }
--- a/src/tasks/TaskPlanner.h
+++ b/src/tasks/TaskPlanner.h
@@ -1,7 +1,3 @@
-/// \file
-/// Decides which tasks start where and which runs make room for them. Pure:
-/// a picture of the cell in, starts and stops out.
-
 #ifndef BAOBABCOVE_TASKS_TASKPLANNER_H
 #define BAOBABCOVE_TASKS_TASKPLANNER_H
 
@@ -16,54 +12,54 @@
 
 namespace baobabcove {
 
-/// An amount of what a worker offers and a task takes.
-struct Room {
+/// An amount of resources, as a worker offers and a task requires them.
+struct Resources {
   std::int64_t MilliCores = 0;
   std::int64_t MemoryMb = 0;
   std::int64_t Accelerators = 0;
 
-  Room &operator+=(const Room &Other);
-  Room &operator-=(const Room &Other);
-  /// Whether \p Need fits into this room.
-  bool holds(const Room &Need) const;
+  Resources &operator+=(const Resources &Other);
+  Resources &operator-=(const Resources &Other);
+  /// Whether \p Need fits into this amount; a need of zero always fits.
+  bool covers(const Resources &Need) const;
 };
 
-/// The room that a task of \p Step takes; none for one that only fills.
-Room roomOf(const wire::StepSpec &Step);
+/// Returns the resources that a task of \p Step requires. Tasks that only use
+/// the cores that others leave idle count without cores.
+Resources resourcesOf(const wire::StepSpec &Step);
 
-/// A worker as the planner sees it.
+/// The planner's view of a worker.
 struct PlanWorker {
-  WorkerLife Life;
-  /// The life of the agent beside it.
-  std::uint64_t AgentLife = 0;
+  WorkerIncarnation Incarnation;
+  /// Incarnation of the worker's agent.
+  std::uint64_t AgentIncarnation = 0;
   ServiceName Service;
   RackName Rack;
   std::vector<std::string> Labels;
-  Room Capacity;
-  /// What runs and stopping runs leave.
-  Room Free;
-  /// What stopping runs will give back.
-  Room Leaving;
-  /// Takes new tasks: in touch, not draining, not suspected.
-  bool Open = true;
+  Resources Capacity;
+  /// Capacity minus the usage of all runs, including those that are stopping.
+  Resources Free;
+  /// Resources that stopping runs will release.
+  Resources Releasing;
+  /// Whether new tasks may be placed: the worker is reachable and neither
+  /// draining nor quarantined.
+  bool AcceptsTasks = true;
 };
 
-/// A run that might be stopped to make room.
-struct PlanRun {
-  /// Position in the list of workers.
+/// A run that may be preempted.
+struct PreemptibleRun {
+  /// Index into PlanInput::Workers.
   std::size_t Worker = 0;
   JobId Job;
   std::size_t Task = 0;
-  Room Takes;
-  /// Identifies its gang, whose other members end with it; empty for a run
-  /// alone.
+  Resources Usage;
+  /// Identifies the gang, whose members end together; empty for a single run.
   std::string Gang;
-  /// Core-seconds of work that a stop would throw away, the whole gang's for
-  /// a member of one.
+  /// Core-seconds of work that a preemption loses, for the whole gang.
   double Loss = 0;
 };
 
-/// Tasks that start together: a whole gang, or one task.
+/// Tasks that are placed together: a whole gang or a single task.
 struct PlanUnit {
   JobId Job;
   std::vector<std::size_t> Tasks;
@@ -71,33 +67,36 @@
   ServiceName Service;
   /// Identifies the step of one occurrence, for the spread limit.
   std::string StepKey;
-  /// Belongs to its workspace's guarantee, so that others make room.
+  /// Covered by the guarantee of its workspace, so that resources are reserved
+  /// for it.
   bool Guaranteed = false;
-  /// Units with lower ranks go first.
+  /// Units with lower ranks are placed first.
   double Rank = 0;
-  /// May run away from its data or across racks, taking longer.
-  bool MayRunFar = false;
-  /// Whether runs may be stopped for it by now.
-  bool MayStopOthers = false;
-  /// Whole workers that it leaves free for urgent jobs, because it can wait.
-  std::size_t LeavesWhole = 0;
+  /// Whether it may run away from its data or across racks, which takes longer.
+  bool MayRunRemote = false;
+  /// Whether runs may be preempted for it now.
+  bool MayPreempt = false;
+  /// Number of workers that it must leave fully free for urgent jobs, because
+  /// it can wait.
+  std::size_t KeepFullyFree = 0;
 };
 
-/// The picture that is decided on.
+/// A snapshot of the cell.
 struct PlanInput {
   std::vector<PlanWorker> Workers;
-  std::vector<PlanRun> Stoppable;
+  std::vector<PreemptibleRun> Preemptible;
   std::vector<PlanUnit> Units;
-  /// Tasks of a step on a worker: first the step's key, then the worker.
+  /// Number of tasks of a step on a worker, by step key and worker index.
   std::map<std::pair<std::string, std::size_t>, std::uint32_t> OnWorker;
-  /// Workers that earlier rounds made room on, by the unit's first task.
-  std::map<std::pair<JobId, std::size_t>, std::vector<WorkerLife>> Kept;
+  /// Workers that earlier rounds reserved, by the unit's first task.
+  std::map<std::pair<JobId, std::size_t>, std::vector<WorkerIncarnation>>
+      Reservations;
 };
 
 struct PlannedStart {
   JobId Job;
   std::size_t Task = 0;
-  /// Position in the list of workers.
+  /// Index into PlanInput::Workers.
   std::size_t Worker = 0;
 };
 
@@ -109,13 +108,14 @@
 struct TaskPlan {
   std::vector<PlannedStart> Starts;
   std::vector<PlannedStop> Stops;
-  /// Workers on which room is made for units that cannot start yet, for the
-  /// next round.
-  std::map<std::pair<JobId, std::size_t>, std::vector<WorkerLife>> Kept;
+  /// Workers reserved for units that cannot start yet, for the next round.
+  std::map<std::pair<JobId, std::size_t>, std::vector<WorkerIncarnation>>
+      Reservations;
 };
 
-/// Decides on \p Input. Every unit is started as a whole or not at all, and
-/// nothing is started beyond a worker's room.
+/// Plans the placement of tasks and the preemption of runs. Has no side
+/// effects. A unit is placed as a whole or not at all, and never beyond the
+/// free resources of a worker.
 TaskPlan planTasks(PlanInput Input);
 
 } // namespace baobabcove
--- a/src/tasks/WorkerLink.h
+++ b/src/tasks/WorkerLink.h
@@ -1,5 +1,5 @@
 /// \file
-/// What an agent hears from the worker beside it, and what it may ask of it.
+/// The interface between an agent and its worker.
 
 #ifndef BAOBABCOVE_TASKS_WORKERLINK_H
 #define BAOBABCOVE_TASKS_WORKERLINK_H
@@ -15,38 +15,38 @@
 
 namespace baobabcove {
 
-/// One announcement of a worker.
+/// A heartbeat of a worker.
 struct WorkerBeat {
   std::string Id;
-  /// Unix time at which this life of the worker began, in milliseconds.
+  /// Unix time in milliseconds at which this incarnation of the worker started.
   std::int64_t BornMs = 0;
-  /// Rises with each beat of one life.
+  /// Increases with each heartbeat of an incarnation.
   std::int64_t Sequence = 0;
   ServiceName Service;
-  /// Where the worker takes calls, "ip:port".
+  /// Address for calls to the worker, "ip:port".
   std::string Address;
   DataCentreName DataCentre;
   bool Draining = false;
-  /// Least time that a draining worker has left.
+  /// Minimum time until a draining worker terminates.
   Milliseconds Remaining{0};
   std::int64_t MilliCores = 0;
   std::int64_t MemoryMb = 0;
   std::int64_t Accelerators = 0;
-  /// All that a step may require, the rack among them.
+  /// All labels that a step may require, including the rack.
   std::vector<std::string> Labels;
   RackName Rack;
 };
 
-/// What a worker runs and what has ended there since the acknowledged end.
+/// Runs of a worker, and the ends that have not been acknowledged.
 struct WorkerRuns {
   std::int64_t BornMs = 0;
-  /// The worker's clock when it answered.
+  /// The worker's clock at the time of the answer.
   Milliseconds Clock{0};
   std::vector<wire::RunStatus> Running;
   std::vector<wire::RunEnd> Ends;
 };
 
-/// A start as the worker takes it.
+/// A start order for a worker.
 struct WorkerStart {
   std::string Task;
   std::uint64_t Run = 0;
@@ -54,13 +54,14 @@
   std::string Checkpoint;
 };
 
-/// What became of a call to a worker.
+/// Result of a call to a worker.
 enum class CallOutcome {
-  /// The worker did it.
+  /// The worker carried out the order.
   Done,
-  /// The worker refused and did nothing.
+  /// The worker refused the order and did nothing.
   Refused,
-  /// No answer: it may have been done, or may be done later.
+  /// Unknown outcome: without an answer the order may have been carried out, or
+  /// may still be.
   Unknown,
 };
 
@@ -68,26 +69,26 @@
 struct OrderAnswer {
   CallOutcome Outcome = CallOutcome::Unknown;
   wire::RefusalReason Reason = wire::REFUSAL_REASON_UNSPECIFIED;
-  /// Why, for the log.
+  /// Reason of a failure, for the log.
   std::string Detail;
 };
 
-/// Calls to one life of a worker. Thread-safe.
+/// Calls to one incarnation of a worker. Thread-safe.
 class WorkerLink {
 public:
   virtual ~WorkerLink() = default;
 
-  /// Starts a run, which the worker refuses when its clock has passed
-  /// \p Deadline or when it has seen an epoch above \p Term.
+  /// Starts a run. The worker refuses if its clock has passed \p Deadline or if
+  /// it has seen an epoch above \p Term.
   virtual OrderAnswer start(const WorkerStart &Order, Milliseconds Deadline,
                             Epoch Term) = 0;
 
-  /// Stops a run. A run that is not there can no longer start there.
+  /// Stops a run. A run that does not exist can no longer start on this worker.
   virtual OrderAnswer stop(const wire::RunKey &Run, Epoch Term) = 0;
 
-  /// Extends the lease of all that runs to \p Deadline on the worker's clock
-  /// (zero: not), lets go of ends up to \p Acknowledged, and lists the rest.
-  /// Waits at most \p Wait for a new end.
+  /// Extends the lease of all runs to \p Deadline on the worker's clock (zero:
+  /// no extension), discards ends up to \p Acknowledged and lists the rest.
+  /// Waits for at most \p Wait for a new end.
   virtual Expected<WorkerRuns> hold(Milliseconds Deadline,
                                     std::uint64_t Acknowledged,
                                     Milliseconds Wait, Epoch Term) = 0;
--- a/src/tasks/WorkerSession.h
+++ b/src/tasks/WorkerSession.h
@@ -1,6 +1,3 @@
-/// \file
-/// What the coordinator knows of one agent and wants of its worker.
-
 #ifndef BAOBABCOVE_TASKS_WORKERSESSION_H
 #define BAOBABCOVE_TASKS_WORKERSESSION_H
 
@@ -12,14 +9,14 @@
 
 namespace baobabcove {
 
-/// One agent, by its newest report.
+/// The coordinator's state for one agent.
 struct WorkerSession {
   wire::TaskReport Report;
-  /// The report has not been taken in yet.
-  bool Fresh = false;
-  /// When the worker was last allowed to go on.
+  /// Whether the report has not been processed yet.
+  bool HasNewReport = false;
+  /// When the runs of the worker were last allowed to continue.
   BootInstant GrantedAt{};
-  /// What the agent is answered.
+  /// The current reply to the agent.
   wire::TaskOrders Orders;
 };
 
--- a/tests/tasks/CallGateTest.cpp
+++ b/tests/tasks/CallAdmissionTest.cpp
@@ -4,7 +4,7 @@
 
 using namespace baobabcove;
 
-TEST_GROUP(CallGate) {
+TEST_GROUP(CallAdmission) {
   std::shared_ptr<QueueConfig> Config = std::make_shared<QueueConfig>();
 
   void setup() override {
@@ -16,11 +16,11 @@
     QueueRule Long = Short;
     Long.Name = "long";
     Long.Prefix = "/a/b/";
-    QueueRule Open = Short;
-    Open.Name = "open";
-    Open.Prefix = "/open/";
-    Open.Anonymous = true;
-    Config->Queues = {Short, Long, Open};
+    QueueRule AnonymousQueue = Short;
+    AnonymousQueue.Name = "open";
+    AnonymousQueue.Prefix = "/open/";
+    AnonymousQueue.Anonymous = true;
+    Config->Queues = {Short, Long, AnonymousQueue};
     Config->Keys["k1"] = WorkspaceId("team");
   }
 
@@ -32,14 +32,14 @@
   }
 };
 
-TEST(CallGate, ChoosesTheLongestPrefix) {
+TEST(CallAdmission, ChoosesTheLongestPrefix) {
   const auto Call = call("/a/b/00aa", "Bearer k1");
   STRCMP_EQUAL("long", Call->Queue->Name.c_str());
   STRCMP_EQUAL("00aa", Call->Rest.c_str());
   STRCMP_EQUAL("team", Call->Workspace.str().c_str());
 }
 
-TEST(CallGate, RefusesWhatItDoesNotKnow) {
+TEST(CallAdmission, RejectsUnknownPathsAndKeys) {
   CHECK(ResultCode::UnknownPath == call("/c/1", "Bearer k1").error().Code);
   CHECK(ResultCode::WrongToken == call("/a/1", "Bearer k2").error().Code);
   CHECK(ResultCode::WrongToken == call("/a/1", "Bearer ").error().Code);
@@ -49,13 +49,13 @@
   CHECK(ResultCode::Starting == call("/a/1", "Bearer k1").error().Code);
 }
 
-TEST(CallGate, HonoursNoKeyOnceTheConfigurationMayBeOutOfDate) {
+TEST(CallAdmission, RejectsKeysOnceTheConfigurationMayBeStale) {
   CHECK_TRUE(call("/a/1", "Bearer k1", 4699).has_value());
   CHECK(ResultCode::StoreUnavailable ==
         call("/a/1", "Bearer k1", 4700).error().Code);
 }
 
-TEST(CallGate, LetsCallsWithoutKeyIntoOpenQueuesAtAnyAge) {
+TEST(CallAdmission, AdmitsCallsWithoutKeyToAnonymousQueuesAtAnyAge) {
   CHECK_TRUE(call("/open/1", "", 60000).has_value());
   CHECK_TRUE(call("/open/1", "Bearer unknown").has_value());
 }
--- a/tests/tasks/CoordinatorRoleTest.cpp
+++ b/tests/tasks/CoordinatorRoleTest.cpp
@@ -15,7 +15,7 @@
   CoordinatorRole Two{Kv, "two 2:2", Milliseconds(60000), [] {}};
 };
 
-TEST(CoordinatorRole, IsTakenByOneProcessAtATime) {
+TEST(CoordinatorRole, IsHeldByOneProcessAtATime) {
   One.start();
   Two.start();
   One.noteSeat(false);
@@ -26,7 +26,7 @@
   CHECK_FALSE(Two.term().has_value());
 }
 
-TEST(CoordinatorRole, GoesToAnotherProcessWithAHigherEpochWhenItIsGivenBack) {
+TEST(CoordinatorRole, GoesToAnotherProcessWithAHigherEpochWhenReleased) {
   One.start();
   One.noteSeat(false);
   CHECK_TRUE(comesTrue([&] { return One.term().has_value(); }));
@@ -40,14 +40,14 @@
   CHECK_TRUE(First < Two.term()->Number);
 }
 
-TEST(CoordinatorRole, KnowsItsOwnWriteWhenTheAnswerWasLost) {
+TEST(CoordinatorRole, RecognizesItsOwnWriteWhenTheAnswerWasLost) {
   Kv.setFault(FakeKv::Fault::AnswerLost);
   One.start();
   One.noteSeat(false);
   CHECK_TRUE(comesTrue([&] { return One.term().has_value(); }));
 }
 
-TEST(CoordinatorRole, IsNotConfirmedOnceTheLeaseMayHaveRunOut) {
+TEST(CoordinatorRole, IsNotConfirmedOnceTheLeaseMayHaveExpired) {
   CoordinatorRole Short(Kv, "short 3:3", Milliseconds(400), [] {});
   Short.start();
   Short.noteSeat(false);
@@ -59,7 +59,7 @@
   CHECK_TRUE(comesTrue([&] { return Short.isConfirmed(); }));
 }
 
-TEST(CoordinatorRole, IsLostWhenTheLeaseHasEnded) {
+TEST(CoordinatorRole, IsLostWhenTheLeaseHasExpired) {
   int Changes = 0;
   CoordinatorRole Short(Kv, "short 3:3", Milliseconds(400), [&] { ++Changes; });
   Short.start();
--- a/tests/tasks/JobCatalogTest.cpp
+++ b/tests/tasks/JobCatalogTest.cpp
@@ -23,7 +23,7 @@
   }
 };
 
-TEST(JobCatalog, CountsJobsThatHaveNotBegun) {
+TEST(JobCatalog, CountsJobsThatHaveNotStarted) {
   addJob("a");
   addJob("b");
   wire::TaskJobProgress Progress;
@@ -34,14 +34,14 @@
   LONGS_EQUAL(0, Catalog.waiting("other"));
 }
 
-TEST(JobCatalog, LeavesOutWhatCannotBeRead) {
+TEST(JobCatalog, SkipsRecordsThatCannotBeParsed) {
   Kv.put(keys::job(JobId("a")), "\xff\xff not a record");
   Kv.put(keys::All + "future/thing", "x");
   Catalog.replaceAll(*Kv.list(keys::All));
   LONGS_EQUAL(0, Catalog.size());
 }
 
-TEST(JobCatalog, KnowsWhoHoldsTheRole) {
+TEST(JobCatalog, TracksTheRoleHolder) {
   Kv.put(keys::Coordinator, "node address nonce");
   Catalog.replaceAll(*Kv.list(keys::All));
   STRCMP_EQUAL("node address nonce", Catalog.seat()->Value.c_str());
@@ -49,7 +49,7 @@
   CHECK_FALSE(Catalog.seat().has_value());
 }
 
-TEST(JobCatalog, FollowsTheStoreAcrossAnOutageAndALossOfHistory) {
+TEST(JobCatalog, FollowsTheStoreAcrossAnOutageAndACompaction) {
   addJob("a");
   StoreFollower Follower(
       Kv, keys::All, Milliseconds(1),
@@ -65,20 +65,21 @@
   CHECK_TRUE(comesTrue([&] { return Catalog.size() == 2; }));
 }
 
-TEST(JobCatalog, LetsNoOlderConfigurationBack) {
-  ConfigKeeper Keeper(Kv, "op/", "op/config", [](const std::string &Text) {
-    QueueConfig Config;
-    Config.Version = std::stol(Text);
-    return Expected<QueueConfig>(Config);
-  });
+TEST(JobCatalog, NeverReturnsToAnOlderConfiguration) {
+  ConfigKeeper Configuration(Kv, "op/", "op/config",
+                             [](const std::string &Text) {
+                               QueueConfig Config;
+                               Config.Version = std::stol(Text);
+                               return Expected<QueueConfig>(Config);
+                             });
   Kv.put("op/config", "7");
-  Keeper.start();
-  CHECK_TRUE(comesTrue([&] { return Keeper.current() != nullptr; }));
+  Configuration.start();
+  CHECK_TRUE(comesTrue([&] { return Configuration.current() != nullptr; }));
   Kv.put("op/config", "5");
   Kv.put("op/config", "9");
   CHECK_TRUE(comesTrue([&] {
-    CHECK(Keeper.current()->Version != 5);
-    return Keeper.current()->Version == 9;
+    CHECK(Configuration.current()->Version != 5);
+    return Configuration.current()->Version == 9;
   }));
-  Keeper.stop();
+  Configuration.stop();
 }
--- a/tests/tasks/JobIntakeTest.cpp
+++ b/tests/tasks/JobIntakeTest.cpp
@@ -32,16 +32,16 @@
   CHECK(JobStatus::Pending == *Intake.status(Id));
 }
 
-TEST(JobIntake, AcceptsTheSameIdAgainWithoutAnotherJob) {
+TEST(JobIntake, AcceptsADuplicateIdWithoutASecondJob) {
   JobCatalog Other{nullptr};
-  JobIntake Elsewhere{Kv, Other};
-  CHECK_TRUE(Elsewhere.accept(spec()).has_value());
+  JobIntake OtherIntake{Kv, Other};
+  CHECK_TRUE(OtherIntake.accept(spec()).has_value());
   const std::string Stored = Kv.value(keys::job(Id));
   CHECK_TRUE(Intake.accept(spec()).has_value());
   STRCMP_EQUAL(Stored.c_str(), Kv.value(keys::job(Id)).c_str());
 }
 
-TEST(JobIntake, RefusesUnsentWhileTheStoreIsAway) {
+TEST(JobIntake, RejectsJobsWhileTheStoreIsUnavailable) {
   Kv.Health.noteFailure(BootClock::now());
   Kv.Health.noteFailure(BootClock::now());
   const auto Refused = Intake.accept(spec());
@@ -49,12 +49,12 @@
   LONGS_EQUAL(0, Kv.commits());
 }
 
-TEST(JobIntake, SettlesALostAnswerByReadingBack) {
+TEST(JobIntake, ResolvesALostAnswerByReadingTheJob) {
   Kv.setFault(FakeKv::Fault::AnswerLost);
   CHECK_TRUE(Intake.accept(spec()).has_value());
 }
 
-TEST(JobIntake, DoesNotCallAWriteRefusedThatMayStillBeCarriedOut) {
+TEST(JobIntake, ReportsAnUnknownOutcomeForADelayedWrite) {
   Kv.setFault(FakeKv::Fault::Late);
   const auto Unknown = Intake.accept(spec());
   CHECK(ResultCode::StoreAnswerLost == Unknown.error().Code);
@@ -63,7 +63,7 @@
   CHECK_TRUE(Intake.accept(spec()).has_value());
 }
 
-TEST(JobIntake, LooksInTheStoreBeforeItDeniesAJob) {
+TEST(JobIntake, ReadsTheStoreBeforeReportingAnUnknownJob) {
   Kv.put(keys::job(Id), spec().SerializeAsString());
   setProgress(true);
   CHECK(JobStatus::Completed == *Intake.status(Id));
@@ -71,12 +71,12 @@
         Intake.status(JobId("00000000000000bb")).error().Code);
 }
 
-TEST(JobIntake, SaysThatItDoesNotKnowWhileTheStoreIsAway) {
+TEST(JobIntake, FailsStatusWithStoreUnavailableDuringAnOutage) {
   Kv.setFault(FakeKv::Fault::Away);
   CHECK(ResultCode::StoreUnavailable == Intake.status(Id).error().Code);
 }
 
-TEST(JobIntake, CancelsOnceAndSaysSoAgain) {
+TEST(JobIntake, CancelsIdempotently) {
   CHECK_TRUE(Intake.accept(spec()).has_value());
   CHECK_TRUE(Intake.cancel(Id).has_value());
   CHECK_TRUE(Intake.cancel(Id).has_value());
@@ -85,7 +85,7 @@
         Intake.cancel(JobId("00000000000000bb")).error().Code);
 }
 
-TEST(JobIntake, SettlesALostCancelByReadingBack) {
+TEST(JobIntake, ResolvesALostCancelByReadingTheKey) {
   CHECK_TRUE(Intake.accept(spec()).has_value());
   Kv.setFault(FakeKv::Fault::AnswerLost);
   CHECK_TRUE(Intake.cancel(Id).has_value());
--- a/tests/tasks/ProgressWriterTest.cpp
+++ b/tests/tasks/ProgressWriterTest.cpp
@@ -45,14 +45,14 @@
   LONGS_EQUAL(3, Kv.commits());
 }
 
-TEST(ProgressWriter, KeepsWhatWasNotWrittenWhileTheStoreIsAway) {
+TEST(ProgressWriter, KeepsJobsDirtyWhileTheStoreIsUnavailable) {
   addJobs(1);
   Kv.setFault(FakeKv::Fault::Away);
   CHECK(WriteOutcome::Retry == Writer.write(Term, Jobs, Dirty));
   LONGS_EQUAL(1, Dirty.size());
 }
 
-TEST(ProgressWriter, TakesItsOwnLostWriteForWritten) {
+TEST(ProgressWriter, RecognizesItsOwnWriteWhoseAnswerWasLost) {
   addJobs(2);
   changeAll();
   Kv.setFault(FakeKv::Fault::AnswerLost);
@@ -64,7 +64,7 @@
   LONGS_EQUAL(0, Dirty.size());
 }
 
-TEST(ProgressWriter, IsNotUndoneByAWriteThatIsCarriedOutLate) {
+TEST(ProgressWriter, IsNotOverwrittenByADelayedWrite) {
   addJobs(1);
   changeAll();
   Kv.setFault(FakeKv::Fault::Late);
--- a/tests/tasks/TaskAgentTest.cpp
+++ b/tests/tasks/TaskAgentTest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A worker in memory, shared by the links to all of its lives.
+/// An in-memory worker, shared by the links to all of its incarnations.
 struct FakeWorker {
   std::mutex Mutex;
   std::map<std::string, std::uint64_t> Running;
@@ -36,41 +36,41 @@
 
 class FakeLink : public WorkerLink {
 public:
-  explicit FakeLink(FakeWorker &Of) : Of(Of) {}
+  explicit FakeLink(FakeWorker &Worker) : Worker(Worker) {}
 
   OrderAnswer start(const WorkerStart &Order, Milliseconds, Epoch) override {
-    const std::lock_guard<std::mutex> Lock(Of.Mutex);
-    ++Of.Starts;
-    if (Of.LosesStarts)
+    const std::lock_guard<std::mutex> Lock(Worker.Mutex);
+    ++Worker.Starts;
+    if (Worker.LosesStarts)
       return {};
-    Of.Running[Order.Task] = Order.Run;
+    Worker.Running[Order.Task] = Order.Run;
     return {CallOutcome::Done, wire::REFUSAL_REASON_UNSPECIFIED, ""};
   }
   OrderAnswer stop(const wire::RunKey &Run, Epoch) override {
-    const std::lock_guard<std::mutex> Lock(Of.Mutex);
-    Of.Barred.insert({Run.task(), Run.run()});
+    const std::lock_guard<std::mutex> Lock(Worker.Mutex);
+    Worker.Barred.insert({Run.task(), Run.run()});
     return {CallOutcome::Done, wire::REFUSAL_REASON_UNSPECIFIED, ""};
   }
   Expected<WorkerRuns> hold(Milliseconds Deadline, std::uint64_t Acknowledged,
                             Milliseconds, Epoch) override {
     std::this_thread::sleep_for(Milliseconds(5));
-    const std::lock_guard<std::mutex> Lock(Of.Mutex);
-    Of.Deadline = std::max(Of.Deadline, Deadline);
-    Of.Acknowledged = std::max(Of.Acknowledged, Acknowledged);
+    const std::lock_guard<std::mutex> Lock(Worker.Mutex);
+    Worker.Deadline = std::max(Worker.Deadline, Deadline);
+    Worker.Acknowledged = std::max(Worker.Acknowledged, Acknowledged);
     WorkerRuns Runs;
     Runs.Clock = Milliseconds(1000);
-    for (const auto &[Task, Run] : Of.Running) {
+    for (const auto &[Task, Run] : Worker.Running) {
       wire::RunStatus Status;
       Status.set_task(Task);
       Status.set_run(Run);
       Runs.Running.push_back(Status);
     }
-    Runs.Ends = Of.Ends;
+    Runs.Ends = Worker.Ends;
     return Runs;
   }
 
 private:
-  FakeWorker &Of;
+  FakeWorker &Worker;
 };
 
 } // namespace
@@ -107,7 +107,7 @@
         },
         Figures);
     Agent->start();
-    Agent->beat(beat(7, 1));
+    Agent->beat(heartbeat(7, 1));
   }
 
   void teardown() override {
@@ -117,13 +117,13 @@
     Coordinator.reset();
   }
 
-  static WorkerBeat beat(std::int64_t Born, std::int64_t Sequence) {
-    WorkerBeat Beat;
-    Beat.Id = "i-1";
-    Beat.BornMs = Born;
-    Beat.Sequence = Sequence;
-    Beat.Accelerators = 8;
-    return Beat;
+  static WorkerBeat heartbeat(std::int64_t StartedAt, std::int64_t Sequence) {
+    WorkerBeat Heartbeat;
+    Heartbeat.Id = "i-1";
+    Heartbeat.BornMs = StartedAt;
+    Heartbeat.Sequence = Sequence;
+    Heartbeat.Accelerators = 8;
+    return Heartbeat;
   }
 
   wire::TaskReport last() {
@@ -141,7 +141,7 @@
   }
 };
 
-TEST(TaskAgent, TellsTheCoordinatorOfItsWorkerOnceItIsListed) {
+TEST(TaskAgent, ReportsItsWorkerAfterTheFirstListing) {
   CHECK_TRUE(comesTrue([&] { return last().complete(); }));
   STRCMP_EQUAL("n1/i-1#7", last().worker().c_str());
   LONGS_EQUAL(8, last().accelerators());
@@ -171,7 +171,7 @@
   }));
 }
 
-TEST(TaskAgent, BarsAStartWithoutAnswerBeforeItGivesUpTheRun) {
+TEST(TaskAgent, BarsAnUnansweredStartBeforeReportingTheRefusal) {
   Worker.LosesStarts = true;
   order(1);
   CHECK_TRUE(comesTrue([&] { return last().refusals_size() == 1; }));
@@ -186,20 +186,20 @@
     Orders.set_epoch(4);
   }
   order(9);
-  const std::uint64_t Heard = last().sequence();
-  CHECK_TRUE(comesTrue([&] { return last().sequence() > Heard + 3; }));
+  const std::uint64_t Sequence = last().sequence();
+  CHECK_TRUE(comesTrue([&] { return last().sequence() > Sequence + 3; }));
   LONGS_EQUAL(0, Worker.Starts);
 }
 
-TEST(TaskAgent, IgnoresALateAnnouncementOfAnEarlierLife) {
+TEST(TaskAgent, IgnoresADelayedHeartbeatOfAnEarlierIncarnation) {
   CHECK_TRUE(comesTrue([&] { return last().complete(); }));
-  Agent->beat(beat(6, 99));
-  const std::uint64_t Heard = last().sequence();
-  CHECK_TRUE(comesTrue([&] { return last().sequence() > Heard + 3; }));
+  Agent->beat(heartbeat(6, 99));
+  const std::uint64_t Sequence = last().sequence();
+  CHECK_TRUE(comesTrue([&] { return last().sequence() > Sequence + 3; }));
   STRCMP_EQUAL("n1/i-1#7", last().worker().c_str());
 }
 
-TEST(TaskAgent, TellsAWorkerThatHasLeftAsAnEmptyLife) {
+TEST(TaskAgent, ReportsADepartedWorkerAsAnIncarnationWithoutRuns) {
   CHECK_TRUE(comesTrue([&] { return last().complete(); }));
   Agent->leave("i-1");
   CHECK_TRUE(comesTrue(
--- a/tests/tasks/TaskJobTest.cpp
+++ b/tests/tasks/TaskJobTest.cpp
@@ -17,7 +17,7 @@
   }
 };
 
-TEST(TaskJob, ReadsBackTheNamesThatItWrites) {
+TEST(TaskJob, ParsesTheNamesThatItFormats) {
   const TaskJob Job(Spec);
   for (std::size_t At = 0; At < Job.size(); ++At) {
     const auto Name = parseTaskName(toText(Job.name(At)));
@@ -26,7 +26,7 @@
   }
 }
 
-TEST(TaskJob, RefusesNamesThatAreNone) {
+TEST(TaskJob, RejectsInvalidTaskNames) {
   for (const char *Text : {"", "a.b.c.d", "aa.0.0", "aa.0.0.0.0", "aa.0.0.-1",
                            "aa.0.0.99999999999999"})
     CHECK_FALSE(parseTaskName(Text).has_value());
@@ -64,7 +64,7 @@
   Job.task(0).Run = 2;
   Job.task(3).Phase = wire::TASK_PLACED;
   Job.task(3).Run = 4;
-  Job.task(3).Worker = WorkerLife("n/w#1");
+  Job.task(3).Worker = WorkerIncarnation("n/w#1");
   Job.task(3).Failures = 1;
   Job.task(3).Checkpoint = "half";
   Job.Begun = true;
@@ -79,7 +79,7 @@
   LONGS_EQUAL(2, Job.progress().tasks_size());
 }
 
-TEST(TaskJob, ShowsAJobThatWasDoneBeforeItsCancelAsCompleted) {
+TEST(TaskJob, ReportsAJobCompletedBeforeItsCancellationAsCompleted) {
   TaskJob Job(Spec);
   Job.Cancelled = true;
   CHECK(JobStatus::Cancelled == Job.status());
