--- a/tests/tasks/TaskModelTest.cpp
+++ b/tests/tasks/TaskModelTest.cpp
@@ -1,10 +1,10 @@
-// A randomised model of the whole life of runs: boards that take over from each
-// other, agents that restart, and workers that lose answers and carry orders
-// out late. Whatever the order of events, no task may run twice at once, nor
-// start again after an end that was taken note of.
+// Randomized model of runs under faults: coordinators take over from each
+// other, agents restart, and workers lose answers and carry out orders late. In
+// every order of events no task may run twice at once, nor start again after
+// its end was acknowledged.
 
-#include "tasks/RunLedger.h"
-#include "tasks/TaskBoard.h"
+#include "tasks/JobTracker.h"
+#include "tasks/RunOrderTracker.h"
 
 #include <cstdio>
 #include <deque>
@@ -16,20 +16,22 @@
 
 namespace {
 
-/// A worker that keeps the platform's promises and no more.
+/// A worker that gives only the guarantees of the platform.
 struct ModelWorker {
   std::string Node;
-  int Born = 1;
+  int IncarnationNumber = 1;
   std::uint64_t Fence = 0;
   std::map<std::string, std::uint64_t> Running;
-  /// Highest run of a task that was stopped or has ended here.
+  /// Highest run of each task that was stopped or has ended here.
   std::map<std::string, std::uint64_t> Barred;
   std::vector<wire::RunEnd> Ends;
   std::uint64_t LastEnd = 0;
-  /// Orders that are carried out later, whatever has come since.
-  std::deque<std::pair<bool, RunId>> Late;
+  /// Orders that are carried out later, after orders sent in the meantime.
+  std::deque<std::pair<bool, RunId>> Delayed;
 
-  std::string life() const { return Node + "/w#" + std::to_string(Born); }
+  std::string incarnation() const {
+    return Node + "/w#" + std::to_string(IncarnationNumber);
+  }
 
   bool start(const RunId &Run) {
     const auto Held = Running.find(Run.first);
@@ -60,21 +62,21 @@
   }
 
   void crash() {
-    ++Born;
+    ++IncarnationNumber;
     Running.clear();
     Barred.clear();
     Ends.clear();
     LastEnd = 0;
-    // Orders name the life that they are for; the next one refuses them.
-    Late.clear();
+    // Orders name their worker incarnation; the next one refuses them.
+    Delayed.clear();
   }
 };
 
 struct ModelAgent {
-  std::uint64_t Life = 1;
-  RunLedger Ledger;
+  std::uint64_t Incarnation = 1;
+  RunOrderTracker RunOrders;
   wire::TaskOrders Orders;
-  std::string WorkerLife;
+  std::string WorkerIncarnation;
   std::deque<std::pair<bool, RunId>> ToSend;
 };
 
@@ -100,19 +102,19 @@
     takeOver();
   }
 
-  /// Returns what went wrong, or an empty text.
+  /// Returns a description of the violation, or an empty string.
   std::string run(int Steps) {
-    for (int I = 0; I < Steps && Broken.empty(); ++I)
+    for (int I = 0; I < Steps && Violation.empty(); ++I)
       step();
-    return Broken;
+    return Violation;
   }
 
   bool allDone() {
-    for (int I = 0; I < 4000 && Broken.empty(); ++I) {
-      Calm = true;
+    for (int I = 0; I < 4000 && Violation.empty(); ++I) {
+      FaultsDisabled = true;
       step();
       bool Done = true;
-      for (const auto &[Id, Job] : Board.jobs())
+      for (const auto &[Id, Job] : Tracker.jobs())
         Done = Done && Job.areAllDone();
       if (Done)
         return true;
@@ -140,23 +142,23 @@
       exchange(N);
       break;
     case 2:
-      send(N);
+      sendOrder(N);
       break;
     case 3:
-      work(N);
+      endRandomRun(N);
       break;
     case 4:
-      carryOutLate(N);
+      deliverDelayed(N);
       break;
     default:
-      if (!Calm)
-        trouble(N);
+      if (!FaultsDisabled)
+        injectFault(N);
       break;
     }
-    check();
+    checkInvariants();
   }
 
-  void trouble(std::size_t N) {
+  void injectFault(std::size_t N) {
     if (chance(6))
       takeOver();
     else if (chance(8))
@@ -165,43 +167,43 @@
       Workers[N].crash();
   }
 
-  /// A new coordinator knows what the last one had stored and nothing else.
+  /// Models a new coordinator, which knows only what the last one stored.
   void takeOver() {
-    Board.clear();
+    Tracker.clear();
     for (const auto &Spec : Specs)
-      Board.addJob(Spec);
+      Tracker.addJob(Spec);
     for (const auto &[Id, Progress] : Stored)
-      Board.restore(Id, Progress, 1);
+      Tracker.restore(Id, Progress, 1);
     Published.clear();
   }
 
   void restartAgent(std::size_t N) {
-    const std::uint64_t Life = Agents[N].Life + 1;
-    // Orders that were on their way may still be carried out.
+    const std::uint64_t Incarnation = Agents[N].Incarnation + 1;
+    // Orders in flight may still be carried out.
     for (const auto &Order : Agents[N].ToSend)
       if (chance(50))
-        Workers[N].Late.push_back(Order);
+        Workers[N].Delayed.push_back(Order);
     Agents[N] = ModelAgent();
-    Agents[N].Life = Life;
+    Agents[N].Incarnation = Incarnation;
   }
 
   wire::TaskReport report(std::size_t N) {
     ModelWorker &Worker = Workers[N];
     ModelAgent &Agent = Agents[N];
-    if (Agent.WorkerLife != Worker.life()) {
-      Agent.Ledger.clear();
+    if (Agent.WorkerIncarnation != Worker.incarnation()) {
+      Agent.RunOrders.clear();
       Agent.Orders.Clear();
       Agent.ToSend.clear();
-      Agent.WorkerLife = Worker.life();
+      Agent.WorkerIncarnation = Worker.incarnation();
     }
     std::set<RunId> Known;
     wire::TaskReport Report;
     Report.set_node(Worker.Node);
-    Report.set_worker(Worker.life());
+    Report.set_worker(Worker.incarnation());
     Report.set_service("s");
     Report.set_accelerators(8);
     Report.set_complete(true);
-    Report.set_agent_life(Agent.Life);
+    Report.set_agent_life(Agent.Incarnation);
     for (const auto &[Task, Run] : Worker.Running) {
       wire::RunStatus &Status = *Report.add_running();
       Status.set_task(Task);
@@ -212,8 +214,8 @@
       *Report.add_ends() = End;
       Known.insert({End.task(), End.run()});
     }
-    Agent.Ledger.takeListing(Known, Now.Boot);
-    for (const wire::RunRefusal &Refusal : Agent.Ledger.refusals())
+    Agent.RunOrders.applyListing(Known, Now.Boot);
+    for (const wire::RunRefusal &Refusal : Agent.RunOrders.refusals())
       *Report.add_refusals() = Refusal;
     return Report;
   }
@@ -222,31 +224,32 @@
     std::vector<wire::TaskReport> Reports;
     for (std::size_t N = 0; N < Workers.size(); ++N)
       Reports.push_back(report(N));
-    Board.plan(Reports, QueueConfig(), Now);
-    Board.settle(Now);
-    // A coordinator may die between its decision and its record.
-    if (!Calm && chance(5)) {
+    Tracker.plan(Reports, QueueConfig(), Now);
+    Tracker.finishJobs(Now);
+    // The coordinator may crash between its decision and storing it.
+    if (!FaultsDisabled && chance(5)) {
       takeOver();
       return;
     }
-    for (const JobId &Id : Board.dirty())
-      Stored[Id] = Board.jobs().at(Id).progress();
-    Board.dirty().clear();
+    for (const JobId &Id : Tracker.dirty())
+      Stored[Id] = Tracker.jobs().at(Id).progress();
+    Tracker.dirty().clear();
     for (const wire::TaskReport &Report : Reports)
-      Published[Report.node()] = Board.ordersFor(Report);
+      Published[Report.node()] = Tracker.ordersFor(Report);
   }
 
   void exchange(std::size_t N) {
     const wire::TaskReport Report = report(N);
-    Board.takeReport(Report, Now);
+    Tracker.applyReport(Report, Now);
     decide();
     const auto Orders = Published.find(Report.node());
     if (Orders == Published.end() ||
-        Orders->second.worker() != Workers[N].life())
+        Orders->second.worker() != Workers[N].incarnation())
       return;
     ModelAgent &Agent = Agents[N];
     Agent.Orders = Orders->second;
-    for (const auto &[Run, Stop] : Agent.Ledger.take(Agent.Orders, Now.Boot))
+    for (const auto &[Run, Stop] :
+         Agent.RunOrders.update(Agent.Orders, Now.Boot))
       Agent.ToSend.emplace_back(Stop, Run);
     acknowledge(N, Agent.Orders.acknowledged_end());
   }
@@ -260,130 +263,132 @@
     }
   }
 
-  void send(std::size_t N) {
+  void sendOrder(std::size_t N) {
     ModelAgent &Agent = Agents[N];
     ModelWorker &Worker = Workers[N];
-    if (Agent.WorkerLife != Worker.life())
+    if (Agent.WorkerIncarnation != Worker.incarnation())
       return;
-    for (const auto &[Run, Stop] : Agent.Ledger.take(Agent.Orders, Now.Boot))
+    for (const auto &[Run, Stop] :
+         Agent.RunOrders.update(Agent.Orders, Now.Boot))
       Agent.ToSend.emplace_back(Stop, Run);
     if (Agent.ToSend.empty())
       return;
     const auto [Stop, Run] = Agent.ToSend.front();
     Agent.ToSend.pop_front();
-    const bool IsLate = !Calm && chance(15);
-    const bool IsLost = !Calm && chance(15);
+    const bool IsDelayed = !FaultsDisabled && chance(15);
+    const bool AnswerIsLost = !FaultsDisabled && chance(15);
     if (Stop)
-      sendStop(Agent, Worker, Run, IsLate, IsLost);
-    else if (Agent.Ledger.wantsStart(Run))
-      sendStart(Agent, Worker, Run, IsLate, IsLost);
+      sendStop(Agent, Worker, Run, IsDelayed, AnswerIsLost);
+    else if (Agent.RunOrders.isStartPending(Run))
+      sendStart(Agent, Worker, Run, IsDelayed, AnswerIsLost);
   }
 
   void sendStop(ModelAgent &Agent, ModelWorker &Worker, const RunId &Run,
-                bool IsLate, bool IsLost) {
-    if (IsLate)
-      Worker.Late.emplace_back(true, Run);
+                bool IsDelayed, bool AnswerIsLost) {
+    if (IsDelayed)
+      Worker.Delayed.emplace_back(true, Run);
     else
       Worker.stop(Run);
-    if (IsLate || IsLost)
-      Agent.Ledger.stopFailed(Run, Now.Boot);
+    if (IsDelayed || AnswerIsLost)
+      Agent.RunOrders.markStopFailed(Run, Now.Boot);
     else
-      Agent.Ledger.stopped(Run, Now.Boot);
+      Agent.RunOrders.markStopped(Run, Now.Boot);
   }
 
   void sendStart(ModelAgent &Agent, ModelWorker &Worker, const RunId &Run,
-                 bool IsLate, bool IsLost) {
+                 bool IsDelayed, bool AnswerIsLost) {
     bool MayHaveBeenSent = true;
     for (const wire::StartOrder &Start : Agent.Orders.starts())
       if (RunId(Start.task(), Start.run()) == Run)
         MayHaveBeenSent = Start.may_have_been_sent();
     const bool Refuses = chance(10);
     bool Started = false;
-    if (IsLate)
-      Worker.Late.emplace_back(false, Run);
+    if (IsDelayed)
+      Worker.Delayed.emplace_back(false, Run);
     else if (!Refuses)
-      Started = begin(Worker, Run);
+      Started = startRun(Worker, Run);
     const bool Listed = Worker.Running.count(Run.first) &&
                         Worker.Running.at(Run.first) == Run.second;
-    if (!IsLate && !IsLost && Refuses && !MayHaveBeenSent)
-      Agent.Ledger.refused(Run, wire::REFUSED_NO_ROOM);
-    else if (Listed || (Started && !IsLost))
-      Agent.Ledger.started(Run);
+    if (!IsDelayed && !AnswerIsLost && Refuses && !MayHaveBeenSent)
+      Agent.RunOrders.markRefused(Run, wire::REFUSED_NO_ROOM);
+    else if (Listed || (Started && !AnswerIsLost))
+      Agent.RunOrders.markStarted(Run);
     else {
-      Agent.Ledger.doubt(Run);
+      Agent.RunOrders.markUnknown(Run);
       Agent.ToSend.emplace_back(true, Run);
     }
   }
 
-  bool begin(ModelWorker &Worker, const RunId &Run) {
-    const bool Had = Worker.Running.count(Run.first) > 0;
+  bool startRun(ModelWorker &Worker, const RunId &Run) {
+    const bool WasRunning = Worker.Running.count(Run.first) > 0;
     const bool Started = Worker.start(Run);
-    if (Started && !Had && Done.count(Run.first))
-      Broken = Run.first + " starts after its end was taken note of";
+    if (Started && !WasRunning && Done.count(Run.first))
+      Violation = Run.first + " starts after its end was acknowledged";
     return Started;
   }
 
-  void carryOutLate(std::size_t N) {
+  void deliverDelayed(std::size_t N) {
     ModelWorker &Worker = Workers[N];
-    if (Worker.Late.empty())
+    if (Worker.Delayed.empty())
       return;
-    const auto [Stop, Run] = Worker.Late.front();
-    Worker.Late.pop_front();
+    const auto [Stop, Run] = Worker.Delayed.front();
+    Worker.Delayed.pop_front();
     if (Stop)
       Worker.stop(Run);
     else
-      begin(Worker, Run);
+      startRun(Worker, Run);
   }
 
-  void work(std::size_t N) {
+  void endRandomRun(std::size_t N) {
     ModelWorker &Worker = Workers[N];
     if (Worker.Running.empty())
       return;
     auto Task = Worker.Running.begin();
     std::advance(Task, static_cast<long>(pick(Worker.Running.size())));
     const std::string Name = Task->first;
-    Worker.end(Name, !Calm && chance(20) ? wire::RUN_FAILED : wire::RUN_DONE);
+    Worker.end(Name, !FaultsDisabled && chance(20) ? wire::RUN_FAILED
+                                                   : wire::RUN_DONE);
   }
 
-  void check() {
+  void checkInvariants() {
     std::map<std::string, int> Count;
     for (const ModelWorker &Worker : Workers)
       for (const auto &[Task, Run] : Worker.Running)
         if (++Count[Task] > 1)
-          Broken = Task + " runs twice";
+          Violation = Task + " runs twice";
   }
 
   std::mt19937 Random;
-  BoardTime Now{BootInstant(Milliseconds(100000)), 1000000};
+  ClockReading Now{BootInstant(Milliseconds(100000)), 1000000};
   std::vector<std::shared_ptr<wire::TaskJobSpec>> Specs;
   std::vector<ModelWorker> Workers;
   std::vector<ModelAgent> Agents;
-  TaskBoard Board;
+  JobTracker Tracker;
   std::map<JobId, wire::TaskJobProgress> Stored;
   std::map<std::string, wire::TaskOrders> Published;
   std::set<std::string> Done;
-  std::string Broken;
-  bool Calm = false;
+  std::string Violation;
+  bool FaultsDisabled = false;
 };
 
 } // namespace
 
 TEST_GROUP(TaskModel){};
 
-TEST(TaskModel, RunsNoTaskTwiceWhateverIsLostLateOrRestarted) {
+TEST(TaskModel, NeverRunsATaskTwiceUnderFaults) {
   for (unsigned Seed = 1; Seed <= 300; ++Seed) {
     Model Cell(Seed);
-    const std::string Broken = Cell.run(600);
-    if (!Broken.empty())
-      FAIL(("seed " + std::to_string(Seed) + ": " + Broken).c_str());
+    const std::string Violation = Cell.run(600);
+    if (!Violation.empty())
+      FAIL(("seed " + std::to_string(Seed) + ": " + Violation).c_str());
   }
 }
 
-TEST(TaskModel, FinishesEveryJobOnceTroubleIsOver) {
+TEST(TaskModel, CompletesEveryJobOnceFaultsStop) {
   for (unsigned Seed = 1; Seed <= 60; ++Seed) {
     Model Cell(Seed);
     Cell.run(300);
     if (!Cell.allDone())
-      FAIL(("seed " + std::to_string(Seed) + ": jobs left over").c_str());
+      FAIL(("seed " + std::to_string(Seed) + ": unfinished jobs").c_str());
   }
 }
--- a/tests/tasks/TaskPlannerTest.cpp
+++ b/tests/tasks/TaskPlannerTest.cpp
@@ -8,10 +8,10 @@
   PlanInput Input;
   std::vector<std::unique_ptr<wire::StepSpec>> Steps;
 
-  /// Adds a worker of 32 cores, 128 GB and 8 accelerators.
-  void addWorker(const std::string &Life, const std::string &Rack) {
+  /// Adds a worker with 32 cores, 128 GB and 8 accelerators.
+  void addWorker(const std::string &Incarnation, const std::string &Rack) {
     PlanWorker Worker;
-    Worker.Life = WorkerLife(Life);
+    Worker.Incarnation = WorkerIncarnation(Incarnation);
     Worker.Service = ServiceName("planner");
     Worker.Rack = RackName(Rack);
     Worker.Labels = {"a", Rack};
@@ -20,13 +20,13 @@
     Input.Workers.push_back(Worker);
   }
 
-  /// Adds a run of \p Accelerators that may be stopped.
+  /// Adds a preemptible run that uses \p Accelerators.
   void addRun(std::size_t Worker, std::size_t Task, std::int64_t Accelerators,
               double Loss, const std::string &Gang = "") {
-    const Room Takes{1000, 1000, Accelerators};
-    Input.Workers[Worker].Free -= Takes;
-    Input.Stoppable.push_back(
-        {Worker, JobId("borrower"), Task, Takes, Gang, Loss});
+    const Resources Usage{1000, 1000, Accelerators};
+    Input.Workers[Worker].Free -= Usage;
+    Input.Preemptible.push_back(
+        {Worker, JobId("borrower"), Task, Usage, Gang, Loss});
   }
 
   wire::StepSpec &addUnit(const std::string &Job, std::size_t Tasks,
@@ -49,7 +49,7 @@
   }
 };
 
-TEST(TaskPlanner, StartsTheUnitWithTheLowestRankWhenRoomIsShort) {
+TEST(TaskPlanner, StartsTheUnitWithTheLowestRankWhenResourcesAreShort) {
   addWorker("w0", "r1");
   addUnit("later", 1, 8, 2);
   addUnit("sooner", 1, 8, 1);
@@ -67,7 +67,7 @@
   LONGS_EQUAL(3, planTasks(Input).Starts.size());
 }
 
-TEST(TaskPlanner, FillsTheFullestWorkerSoThatOthersStayWhole) {
+TEST(TaskPlanner, PlacesASmallTaskOnTheFullestWorker) {
   addWorker("empty", "r1");
   addWorker("half", "r1");
   Input.Workers[1].Free.Accelerators = 4;
@@ -75,12 +75,12 @@
   LONGS_EQUAL(1, planTasks(Input).Starts.at(0).Worker);
 }
 
-TEST(TaskPlanner, KeepsAGangInOneRackUntilItMayRunFar) {
+TEST(TaskPlanner, KeepsAGangInOneRackUntilItMayRunRemote) {
   addWorker("w0", "r1");
   addWorker("w1", "r2");
   addUnit("gang", 2, 8).set_same_rack(true);
   LONGS_EQUAL(0, planTasks(Input).Starts.size());
-  Input.Units[0].MayRunFar = true;
+  Input.Units[0].MayRunRemote = true;
   LONGS_EQUAL(2, planTasks(Input).Starts.size());
 }
 
@@ -105,7 +105,7 @@
   LONGS_EQUAL(0, planTasks(Input).Starts.size());
 }
 
-TEST(TaskPlanner, StopsTheCheapestRunsForAGuaranteedGang) {
+TEST(TaskPlanner, PreemptsTheRunsWithTheLeastLoss) {
   addWorker("w0", "r1");
   addWorker("w1", "r1");
   addRun(0, 0, 8, 50);
@@ -113,14 +113,14 @@
   addUnit("urgent", 1, 8);
   Input.Units[0].Guaranteed = true;
   LONGS_EQUAL(0, planTasks(Input).Stops.size());
-  Input.Units[0].MayStopOthers = true;
+  Input.Units[0].MayPreempt = true;
   const TaskPlan Plan = planTasks(Input);
   LONGS_EQUAL(1, Plan.Stops.size());
   LONGS_EQUAL(1, Plan.Stops[0].Task);
   LONGS_EQUAL(0, Plan.Starts.size());
 }
 
-TEST(TaskPlanner, MakesRoomWithinOneRackForAGangThatAsksForIt) {
+TEST(TaskPlanner, PreemptsWithinOneRackForAGangThatRequiresIt) {
   addWorker("w0", "r1");
   addWorker("w1", "r2");
   addWorker("w2", "r2");
@@ -129,27 +129,28 @@
   addRun(2, 2, 8, 20);
   addUnit("urgent", 2, 8).set_same_rack(true);
   Input.Units[0].Guaranteed = true;
-  Input.Units[0].MayStopOthers = true;
+  Input.Units[0].MayPreempt = true;
   const TaskPlan Plan = planTasks(Input);
   LONGS_EQUAL(2, Plan.Stops.size());
   for (const PlannedStop &Stop : Plan.Stops)
     CHECK(Stop.Task != 0);
 }
 
-TEST(TaskPlanner, StartsAtOnceWhereRoomWasMadeAcrossRacks) {
+TEST(TaskPlanner, StartsOnReservedWorkersAcrossRacks) {
   addWorker("w0", "r1");
   addWorker("w1", "r2");
   addUnit("urgent", 2, 8).set_same_rack(true);
   Input.Units[0].Guaranteed = true;
-  Input.Kept[{JobId("urgent"), 0}] = {WorkerLife("w0"), WorkerLife("w1")};
+  Input.Reservations[{JobId("urgent"), 0}] = {WorkerIncarnation("w0"),
+                                              WorkerIncarnation("w1")};
   LONGS_EQUAL(2, planTasks(Input).Starts.size());
 }
 
-TEST(TaskPlanner, LeavesTheRoomThatStoppingRunsWillGiveToTheGuaranteed) {
+TEST(TaskPlanner, ReservesResourcesOfStoppingRunsForGuaranteedUnits) {
   addWorker("w0", "r1");
   addWorker("w1", "r1");
   Input.Workers[0].Free.Accelerators = 4;
-  Input.Workers[0].Leaving.Accelerators = 4;
+  Input.Workers[0].Releasing.Accelerators = 4;
   Input.Workers[1].Free.Accelerators = 0;
   addUnit("urgent", 1, 8, 0);
   Input.Units[0].Guaranteed = true;
@@ -157,16 +158,16 @@
   const TaskPlan Plan = planTasks(Input);
   LONGS_EQUAL(0, Plan.Starts.size());
   LONGS_EQUAL(0, Plan.Stops.size());
-  LONGS_EQUAL(1, Plan.Kept.size());
+  LONGS_EQUAL(1, Plan.Reservations.size());
 }
 
-TEST(TaskPlanner, CountsTheWholeGangOfAStoppedMemberAsFreed) {
+TEST(TaskPlanner, CountsAllMembersOfAPreemptedGangAsFreed) {
   addWorker("w0", "r1");
   addWorker("w1", "r1");
   addRun(0, 0, 8, 10, "g");
   addRun(1, 1, 8, 10, "g");
   addUnit("urgent", 2, 8);
   Input.Units[0].Guaranteed = true;
-  Input.Units[0].MayStopOthers = true;
+  Input.Units[0].MayPreempt = true;
   LONGS_EQUAL(1, planTasks(Input).Stops.size());
 }
