--- a/src/coordinator/Coordinator.cpp
+++ b/src/coordinator/Coordinator.cpp
@@ -11,415 +11,425 @@
 namespace {
 
 constexpr std::size_t EventCapacity = 16384;
-constexpr std::size_t OrderCapacity = 4096;
-constexpr std::size_t ActorCount = 8;
+constexpr std::size_t WorkQueueCapacity = 4096;
+constexpr std::size_t ExecutorCount = 8;
 constexpr Milliseconds DecidePeriod{200};
-/// A new coordinator waits this long for the workers to answer.
-constexpr Milliseconds SettlePatience{3000};
-/// Reports made before a start was carried out may still be on their way.
-constexpr Milliseconds StartGrace{3000};
-
-LossTimes lossTimes(const Settings &Of) {
-  LossTimes Times;
-  Times.Silence = Milliseconds(Of.WorkerSilenceMs);
-  Times.Autonomy = Milliseconds(Of.AutonomyMs);
-  Times.EntryFresh = Milliseconds(Of.MinionSilenceMs);
-  return Times;
+/// Time for which a new coordinator waits for the inventories of the workers.
+constexpr Milliseconds SettleTimeout{3000};
+/// Worker reports made before a start was carried out may still be in flight
+/// for this long; a gang's parts may be missing from them.
+constexpr Milliseconds StartReportDelay{3000};
+
+LossTimeouts lossTimeouts(const Settings &Opts) {
+  LossTimeouts Timeouts;
+  Timeouts.WorkerTimeout = Milliseconds(Opts.WorkerSilenceMs);
+  Timeouts.AutonomyLimit = Milliseconds(Opts.AutonomyMs);
+  Timeouts.EntryTimeout = Milliseconds(Opts.MinionSilenceMs);
+  return Timeouts;
 }
 
 } // namespace
 
-Coordinator::Coordinator(const Settings &Of, const StateChart &JobChart,
-                         Store &Platform, RpcPeers &Peers, JobBook &Book,
-                         const Members &Known, ConfigurationKeeper &Keeper,
-                         Metrics &Figures)
-    : Of(Of), Life(JobChart, Figures), Platform(Platform), Book(Book),
-      Known(Known), Keeper(Keeper), Figures(Figures), Events(EventCapacity),
-      Records(Book), Actions(Peers, Book, Records, Life), Losses(lossTimes(Of)),
-      Published(makeDump()) {
-  for (std::size_t I = 0; I < ActorCount; ++I)
-    Orders.push_back(std::make_unique<Ring<Action>>(OrderCapacity));
-  for (std::size_t I = 0; I < ActorCount; ++I)
-    Actors.emplace_back([this, I] { actLoop(I); });
-  Decider = std::thread([this] { decideLoop(); });
+Coordinator::Coordinator(const Settings &Opts, const StateChart &JobChart,
+                         Store &ClusterStore, RpcPeers &Peers,
+                         JobBook &JobRecords, const Members &Membership,
+                         ConfigurationKeeper &Configurations,
+                         Metrics &ProcessMetrics)
+    : Opts(Opts), JobStates(JobChart, ProcessMetrics),
+      ClusterStore(ClusterStore), JobRecords(JobRecords),
+      Membership(Membership), Configurations(Configurations),
+      ProcessMetrics(ProcessMetrics), Events(EventCapacity),
+      RecordWriter(JobRecords),
+      Actions(Peers, JobRecords, RecordWriter, JobStates),
+      LossDetector(lossTimeouts(Opts)), PublishedDump(makeDump()) {
+  for (std::size_t I = 0; I < ExecutorCount; ++I)
+    WorkQueues.push_back(std::make_unique<Ring<WorkItem>>(WorkQueueCapacity));
+  for (std::size_t I = 0; I < ExecutorCount; ++I)
+    ExecutorThreads.emplace_back([this, I] { executeLoop(I); });
+  DecisionThread = std::thread([this] { decideLoop(); });
 }
 
 Coordinator::~Coordinator() {
   Stopping = true;
-  Decider.join();
-  for (std::thread &Each : Actors)
+  DecisionThread.join();
+  for (std::thread &Each : ExecutorThreads)
     Each.join();
 }
 
-void Coordinator::post(Event Happened) {
-  // A full ring drops the event; the loop then looks at everything anew.
-  if (!Events.tryPush(std::move(Happened)))
-    MissedEvents = true;
+void Coordinator::postEvent(Event Received) {
+  // A full queue drops the event; decideLoop() then resynchronizes all state.
+  if (!Events.tryPush(std::move(Received)))
+    EventsDropped = true;
 }
 
-void Coordinator::act(const std::string &Name, Action Work) {
-  const std::size_t Index = std::hash<std::string>()(Name) % ActorCount;
-  if (!Orders[Index]->tryPush(std::move(Work)))
-    Figures.count("coordinator_orders_refused");
+void Coordinator::enqueueWork(const std::string &Key, WorkItem Work) {
+  const std::size_t Index = std::hash<std::string>()(Key) % ExecutorCount;
+  if (!WorkQueues[Index]->tryPush(std::move(Work)))
+    ProcessMetrics.count("coordinator_orders_refused");
 }
 
-void Coordinator::roleChanged(Epoch Taken) { post(RoleEvent{Taken}); }
+void Coordinator::roleChanged(Epoch Held) { postEvent(RoleEvent{Held}); }
 
-void Coordinator::memberHeard(const wire::Heartbeat &Beat) {
-  if (Beat.kind() != wire::MINION)
-    post(BeatEvent{Beat});
+void Coordinator::memberHeard(const wire::Heartbeat &Heartbeat) {
+  if (Heartbeat.kind() != wire::MINION)
+    postEvent(HeartbeatEvent{Heartbeat});
 }
 
-void Coordinator::jobChanged(const StoredJob &Job) { post(JobEvent{Job}); }
+void Coordinator::jobChanged(const StoredJob &Job) { postEvent(JobEvent{Job}); }
 
-void Coordinator::configurationChanged() { post(ConfigurationEvent{}); }
+void Coordinator::configurationChanged() { postEvent(ConfigurationEvent{}); }
 
-void Coordinator::actLoop(std::size_t Index) {
+void Coordinator::executeLoop(std::size_t Index) {
   while (!Stopping)
-    if (auto Work = Orders[Index]->pop(DecidePeriod))
+    if (auto Work = WorkQueues[Index]->pop(DecidePeriod))
       (*Work)();
 }
 
 void Coordinator::decideLoop() {
   while (!Stopping) {
-    auto Happened = Events.pop(DecidePeriod);
-    bool Any = Happened.has_value();
-    while (Happened) {
-      std::visit([this](const auto &Each) { on(Each); }, *Happened);
-      Happened = Events.pop(Milliseconds(0));
+    auto Received = Events.pop(DecidePeriod);
+    bool AnyEvent = Received.has_value();
+    while (Received) {
+      std::visit([this](const auto &Each) { handle(Each); }, *Received);
+      Received = Events.pop(Milliseconds(0));
     }
-    const Instant Present = monotonicNow();
-    if (Now == Stage::Settling)
-      settleIfDone(Present);
-    if (Now == Stage::Deciding &&
-        (Any || Present - LastDecision >= DecidePeriod)) {
-      if (MissedEvents.exchange(false))
+    const Instant Now = monotonicNow();
+    if (CurrentStage == Stage::Settling)
+      tryFinishSettling(Now);
+    if (CurrentStage == Stage::Deciding &&
+        (AnyEvent || Now - LastDecisionAt >= DecidePeriod)) {
+      if (EventsDropped.exchange(false))
         resync();
-      judgeLosses(Present);
-      decide(Present);
-      removeOldJobs(Present);
+      detectLosses(Now);
+      decide(Now);
+      removeOldJobs(Now);
     }
-    publish();
+    publishDump();
   }
 }
 
-void Coordinator::on(const RoleEvent &Happened) {
-  Held = Happened.Held;
+void Coordinator::handle(const RoleEvent &Received) {
+  HeldEpoch = Received.HeldEpoch;
   Gangs = GangTracker();
   Workers.clear();
-  Scheduled.clear();
-  ToAdopt.clear();
-  Records.clear();
-  Policy.reset();
-  Now = Stage::Idle;
-  if (Held == Epoch())
+  ScheduledJobs.clear();
+  JobsToAdopt.clear();
+  RecordWriter.clear();
+  JobScheduler.reset();
+  CurrentStage = Stage::Idle;
+  if (HeldEpoch == Epoch())
     return;
   SchedulerOptions Options;
-  Options.Policy = Of.Policy;
-  Policy = std::make_unique<Scheduler>(Options);
-  Now = Stage::Listing;
-  StageSince = monotonicNow();
-  listEverything();
-  for (const auto &Each :
-       Known.alive(wire::WORKER, Milliseconds(Of.WorkerSilenceMs), StageSince))
-    askInventory(Each.Beat);
+  Options.Policy = Opts.Policy;
+  JobScheduler = std::make_unique<Scheduler>(Options);
+  CurrentStage = Stage::Listing;
+  StageStartedAt = monotonicNow();
+  listJobsAndEntries();
+  for (const auto &Each : Membership.alive(
+           wire::WORKER, Milliseconds(Opts.WorkerSilenceMs), StageStartedAt))
+    requestInventory(Each.Beat);
 }
 
-void Coordinator::listEverything() {
-  const Epoch For = Held;
-  act("list", [this, For] {
-    ListedEvent Listed;
-    Listed.For = For;
+void Coordinator::listJobsAndEntries() {
+  const Epoch ForEpoch = HeldEpoch;
+  enqueueWork("list", [this, ForEpoch] {
+    ListingEvent Listing;
+    Listing.ForEpoch = ForEpoch;
     while (!Stopping) {
-      auto Jobs = Book.listThrough();
-      const auto Entries = Platform.list("entries/" + Of.Cell + "/");
+      auto Jobs = JobRecords.listThrough();
+      const auto Entries = ClusterStore.list("entries/" + Opts.Cell + "/");
       if (!Jobs || !Entries) {
         std::this_thread::sleep_for(DecidePeriod);
         continue;
       }
-      Listed.Jobs = std::move(*Jobs);
+      Listing.Jobs = std::move(*Jobs);
       for (const StoreEntry &Each : Entries->Entries) {
         wire::EntryRecord Entry;
         if (Entry.ParseFromString(Each.Value))
-          Listed.Entries.insert(Entry.node());
+          Listing.Entries.insert(Entry.node());
       }
       break;
     }
-    post(std::move(Listed));
+    postEvent(std::move(Listing));
   });
 }
 
-void Coordinator::askInventory(const wire::Heartbeat &Beat) {
-  WorkerView &View = Workers[Beat.node()];
-  View = WorkerView();
-  View.Incarnation = Beat.incarnation();
-  View.HeardAt = monotonicNow();
-  View.Address = Beat.rpc_address();
-  View.Asked = true;
-  const Epoch For = Held;
-  act(Beat.node(), [this, For, Beat] {
-    InventoriedEvent Event;
-    Event.For = For;
-    Event.Beat = Beat;
-    const auto Reply = Actions.inventory(Beat.rpc_address(), For);
+void Coordinator::requestInventory(const wire::Heartbeat &Heartbeat) {
+  WorkerState &Worker = Workers[Heartbeat.node()];
+  Worker = WorkerState();
+  Worker.Incarnation = Heartbeat.incarnation();
+  Worker.LastHeartbeatAt = monotonicNow();
+  Worker.Address = Heartbeat.rpc_address();
+  Worker.InventoryPending = true;
+  const Epoch ForEpoch = HeldEpoch;
+  enqueueWork(Heartbeat.node(), [this, ForEpoch, Heartbeat] {
+    InventoryEvent Event;
+    Event.ForEpoch = ForEpoch;
+    Event.Heartbeat = Heartbeat;
+    const auto Reply = Actions.inventory(Heartbeat.rpc_address(), ForEpoch);
     Event.Accepted = Reply.has_value();
     if (Reply)
-      *Event.Beat.mutable_worker()->mutable_parts() = Reply->parts();
-    post(std::move(Event));
+      *Event.Heartbeat.mutable_worker()->mutable_parts() = Reply->parts();
+    postEvent(std::move(Event));
   });
 }
 
-void Coordinator::on(const ListedEvent &Happened) {
-  if (Happened.For != Held || Now != Stage::Listing)
+void Coordinator::handle(const ListingEvent &Received) {
+  if (Received.ForEpoch != HeldEpoch || CurrentStage != Stage::Listing)
     return;
-  ToAdopt = Happened.Jobs;
-  std::set<std::string> Others = Happened.Entries;
-  Others.erase(Of.Node);
-  Losses.begin(Others, monotonicNow());
-  Now = Stage::Settling;
-  StageSince = monotonicNow();
+  JobsToAdopt = Received.Jobs;
+  std::set<std::string> Others = Received.Entries;
+  Others.erase(Opts.Node);
+  LossDetector.reset(Others, monotonicNow());
+  CurrentStage = Stage::Settling;
+  StageStartedAt = monotonicNow();
 }
 
-void Coordinator::on(const InventoriedEvent &Happened) {
-  if (Happened.For != Held || Now == Stage::Idle)
+void Coordinator::handle(const InventoryEvent &Received) {
+  if (Received.ForEpoch != HeldEpoch || CurrentStage == Stage::Idle)
     return;
-  WorkerView &View = Workers[Happened.Beat.node()];
-  if (View.Incarnation != Happened.Beat.incarnation())
+  WorkerState &Worker = Workers[Received.Heartbeat.node()];
+  if (Worker.Incarnation != Received.Heartbeat.incarnation())
     return;
-  View.Asked = false;
-  View.Ready = Happened.Accepted;
-  if (!View.Ready)
+  Worker.InventoryPending = false;
+  Worker.Ready = Received.Accepted;
+  if (!Worker.Ready)
     return;
-  tellSchedulerOf(Happened.Beat);
-  if (Now == Stage::Deciding)
-    observeWorker(Happened.Beat);
+  updateScheduler(Received.Heartbeat);
+  if (CurrentStage == Stage::Deciding)
+    handleWorkerReport(Received.Heartbeat);
 }
 
-void Coordinator::settleIfDone(Instant Present) {
-  const bool Waiting =
-      std::any_of(Workers.begin(), Workers.end(),
-                  [](const auto &Pair) { return Pair.second.Asked; });
-  // Right after a start of everything, workers take a moment to be heard.
-  const bool Patient = Present - StageSince < SettlePatience;
-  if (Patient && (Waiting || Workers.empty()))
+void Coordinator::tryFinishSettling(Instant Now) {
+  const bool AnyPending =
+      std::any_of(Workers.begin(), Workers.end(), [](const auto &Pair) {
+        return Pair.second.InventoryPending;
+      });
+  // Right after the whole deployment has started, it takes a moment until the
+  // first worker heartbeats arrive.
+  const bool WithinTimeout = Now - StageStartedAt < SettleTimeout;
+  if (WithinTimeout && (AnyPending || Workers.empty()))
     return;
   applyGuarantees();
-  for (const StoredJob &Job : ToAdopt)
+  for (const StoredJob &Job : JobsToAdopt)
     adoptJob(Job);
-  ToAdopt.clear();
-  Now = Stage::Deciding;
-  LOG4CPLUS_INFO(logOf("coordinator"), "Deciding for " << Workers.size()
-                                                       << " workers, epoch "
-                                                       << Held << ".");
+  JobsToAdopt.clear();
+  CurrentStage = Stage::Deciding;
+  LOG4CPLUS_INFO(logOf("coordinator"), "Started scheduling for "
+                                           << Workers.size()
+                                           << " workers in epoch " << HeldEpoch
+                                           << ".");
   resync();
 }
 
 void Coordinator::adoptJob(const StoredJob &Job) {
   const wire::JobRecord &Record = Job.Record;
-  if (hasEnded(Record) || !Scheduled.insert(Record.id()).second)
+  if (hasEnded(Record) || !ScheduledJobs.insert(Record.id()).second)
     return;
   const JobInfo Info = jobInfoOf(Record);
   if (Record.state() == wire::QUEUED) {
-    Policy->jobQueued(Info, monotonicNow());
+    JobScheduler->jobQueued(Info, monotonicNow());
   } else {
     std::vector<Placement> Members;
     TrackedGang Gang;
     Gang.Job = Info.Id;
     Gang.Number = Attempt(Record.attempt());
-    Gang.Kept = Milliseconds(Record.progress_ms());
-    Gang.SettledAt = monotonicNow();
+    Gang.CheckpointedProgress = Milliseconds(Record.progress_ms());
+    Gang.AbsenceCountsFrom = monotonicNow();
     for (const auto &Member : Record.members()) {
       Members.push_back({NodeId(Member.node()), Member.tasks()});
       Gang.Members.push_back(Member);
     }
     Gangs.add(Gang);
-    Policy->jobRunning(
-        Info, Gang.Number, Members, Record.borrowed(),
-        instantOf(std::max(Record.started_at_ms(), Record.submitted_at_ms())));
+    JobScheduler->jobRunning(Info, Gang.Number, Members, Record.borrowed(),
+                             toMonotonic(std::max(Record.started_at_ms(),
+                                                  Record.submitted_at_ms())));
   }
-  Policy->attemptUsed(Info.Id, Attempt(Record.attempt()),
-                      Milliseconds(Record.progress_ms()));
+  JobScheduler->attemptUsed(Info.Id, Attempt(Record.attempt()),
+                            Milliseconds(Record.progress_ms()));
   if (Record.cancel_requested())
-    Policy->jobCancelled(Info.Id, monotonicNow());
+    JobScheduler->jobCancelled(Info.Id, monotonicNow());
 }
 
 void Coordinator::applyGuarantees() {
-  const auto Present = Keeper.current();
-  Policy->setGuarantees(guaranteesOf(*Present));
-  Policy->setCompletionWeight(Present->CompletionWeight);
+  const auto Configuration = Configurations.current();
+  JobScheduler->setGuarantees(guaranteesOf(*Configuration));
+  JobScheduler->setCompletionWeight(Configuration->CompletionWeight);
 }
 
-void Coordinator::on(const ConfigurationEvent &) {
-  if (Now == Stage::Deciding)
+void Coordinator::handle(const ConfigurationEvent &) {
+  if (CurrentStage == Stage::Deciding)
     applyGuarantees();
 }
 
-void Coordinator::on(const JobEvent &Happened) {
-  if (Now != Stage::Deciding)
+void Coordinator::handle(const JobEvent &Received) {
+  if (CurrentStage != Stage::Deciding)
     return;
-  // Events may overtake each other; the book has the newest record.
+  // Events may arrive out of order; use the newest record.
   StoredJob Newest;
-  if (!Book.find(JobId(Happened.Job.Record.id()), Newest))
+  if (!JobRecords.find(JobId(Received.Job.Record.id()), Newest))
     return;
   const wire::JobRecord &Record = Newest.Record;
   if (hasEnded(Record)) {
-    Scheduled.erase(Record.id());
+    ScheduledJobs.erase(Record.id());
     return;
   }
-  if (Scheduled.count(Record.id()) == 0) {
+  if (ScheduledJobs.count(Record.id()) == 0) {
     adoptJob(Newest);
     return;
   }
   const JobId Id(Record.id());
   if (Record.state() == wire::QUEUED)
-    Policy->attemptUsed(Id, Attempt(Record.attempt()),
-                        Milliseconds(Record.progress_ms()));
+    JobScheduler->attemptUsed(Id, Attempt(Record.attempt()),
+                              Milliseconds(Record.progress_ms()));
   if (Record.cancel_requested())
-    Policy->jobCancelled(Id, monotonicNow());
+    JobScheduler->jobCancelled(Id, monotonicNow());
 }
 
-void Coordinator::on(const BeatEvent &Happened) {
-  const wire::Heartbeat &Beat = Happened.Beat;
-  const Instant Present = monotonicNow();
-  if (Now == Stage::Idle)
+void Coordinator::handle(const HeartbeatEvent &Received) {
+  const wire::Heartbeat &Heartbeat = Received.Heartbeat;
+  const Instant Now = monotonicNow();
+  if (CurrentStage == Stage::Idle)
     return;
-  if (Beat.kind() == wire::ENTRY) {
-    Losses.hearEntry(Beat, Present);
+  if (Heartbeat.kind() == wire::ENTRY) {
+    LossDetector.entryHeartbeat(Heartbeat, Now);
     return;
   }
-  const auto Found = Workers.find(Beat.node());
+  const auto Found = Workers.find(Heartbeat.node());
   if (Found == Workers.end() ||
-      Found->second.Incarnation < Beat.incarnation()) {
-    askInventory(Beat);
+      Found->second.Incarnation < Heartbeat.incarnation()) {
+    requestInventory(Heartbeat);
     return;
   }
-  WorkerView &View = Found->second;
-  if (Beat.incarnation() < View.Incarnation)
+  WorkerState &Worker = Found->second;
+  if (Heartbeat.incarnation() < Worker.Incarnation)
     return;
-  View.HeardAt = Present;
-  if (!View.Ready && !View.Asked)
-    askInventory(Beat);
-  if (!View.Ready || Now != Stage::Deciding)
+  Worker.LastHeartbeatAt = Now;
+  if (!Worker.Ready && !Worker.InventoryPending)
+    requestInventory(Heartbeat);
+  if (!Worker.Ready || CurrentStage != Stage::Deciding)
     return;
-  tellSchedulerOf(Beat);
-  observeWorker(Beat);
+  updateScheduler(Heartbeat);
+  handleWorkerReport(Heartbeat);
 }
 
-void Coordinator::tellSchedulerOf(const wire::Heartbeat &Beat) {
-  Workers[Beat.node()].Listed = true;
-  Policy->workerSeen(workerInfoOf(Beat), monotonicNow());
+void Coordinator::updateScheduler(const wire::Heartbeat &Heartbeat) {
+  Workers[Heartbeat.node()].Schedulable = true;
+  JobScheduler->workerSeen(workerInfoOf(Heartbeat), monotonicNow());
 }
 
-void Coordinator::observeWorker(const wire::Heartbeat &Beat) {
-  const Instant Present = monotonicNow();
-  for (TrackedGang *Gang : Gangs.on(Beat.node()))
-    news(*Gang, Gangs.observe(*Gang, Beat, Present));
-  for (const wire::GangPart &Part : Beat.worker().parts())
+void Coordinator::handleWorkerReport(const wire::Heartbeat &Heartbeat) {
+  const Instant Now = monotonicNow();
+  for (TrackedGang *Gang : Gangs.gangsOn(Heartbeat.node()))
+    handleTransition(*Gang, Gangs.handleReport(*Gang, Heartbeat, Now));
+  for (const wire::GangPart &Part : Heartbeat.worker().parts())
     if (Part.phase() == wire::RUNNING && Part.memory_mb_per_task() > 0) {
-      Figures.count("usage_reports");
-      Policy->usageReported(JobId(Part.job()), Part.memory_mb_per_task());
+      ProcessMetrics.count("usage_reports");
+      JobScheduler->usageReported(JobId(Part.job()), Part.memory_mb_per_task());
     }
-  stopStrays(Beat);
+  stopStrayParts(Heartbeat);
 }
 
-void Coordinator::stopStrays(const wire::Heartbeat &Beat) {
-  for (const auto &Part : Gangs.strays(Beat)) {
+void Coordinator::stopStrayParts(const wire::Heartbeat &Heartbeat) {
+  for (const auto &Part : Gangs.strayParts(Heartbeat)) {
     if (Part.phase() == wire::RESERVED)
       continue;
     StopOrder Order;
-    Order.By = Held;
+    Order.IssuerEpoch = HeldEpoch;
     Order.Job = JobId(Part.job());
     Order.Number = Attempt(Part.attempt());
     Order.Forget = true;
     wire::GangMember Member;
-    Member.set_node(Beat.node());
-    Member.set_rpc_address(Beat.rpc_address());
+    Member.set_node(Heartbeat.node());
+    Member.set_rpc_address(Heartbeat.rpc_address());
     Order.Members.push_back(Member);
-    Figures.count("stray_parts_stopped");
-    act(Part.job(), [this, Order] { Actions.stop(Order); });
+    ProcessMetrics.count("stray_parts_stopped");
+    enqueueWork(Part.job(), [this, Order] { Actions.stop(Order); });
   }
 }
 
-void Coordinator::on(const RecordedEvent &Happened) {
-  TrackedGang *Gang = Gangs.find(Happened.Job, Happened.Number);
+void Coordinator::handle(const EndRecordedEvent &Received) {
+  TrackedGang *Gang = Gangs.find(Received.Job, Received.Number);
   if (!Gang || !Gang->Ended)
     return;
   StopOrder Order = stopOrderOf(*Gang);
   Order.Forget = true;
-  act(Happened.Job.str(), [this, Order] { Actions.stop(Order); });
-  Gangs.erase(Happened.Job, Happened.Number);
+  enqueueWork(Received.Job.str(), [this, Order] { Actions.stop(Order); });
+  Gangs.erase(Received.Job, Received.Number);
 }
 
-void Coordinator::on(const StartedEvent &Happened) {
-  const StartOrder &Order = Happened.Order;
+void Coordinator::handle(const StartFinishedEvent &Received) {
+  const StartOrder &Order = Received.Order;
   TrackedGang *Gang = Gangs.find(Order.Job, Order.Number);
-  if (Order.By != Held || !Gang)
+  if (Order.IssuerEpoch != HeldEpoch || !Gang)
     return;
-  if (Happened.Outcome.MayRun) {
-    Gang->SettledAt = monotonicNow() + StartGrace;
+  if (Received.Outcome.MayRun) {
+    Gang->AbsenceCountsFrom = monotonicNow() + StartReportDelay;
     return;
   }
-  LOG4CPLUS_INFO(logOf("coordinator"), "Did not start "
-                                           << Order.Job << ": "
-                                           << Happened.Outcome.Reason.Detail);
-  Figures.count("starts_refused");
+  LOG4CPLUS_INFO(logOf("coordinator"), "Gang of job "
+                                           << Order.Job << " not started: "
+                                           << Received.Outcome.Reason.Detail);
+  ProcessMetrics.count("starts_refused");
   Gangs.erase(Order.Job, Order.Number);
-  Policy->gangRefused(Order.Job, Order.Number,
-                      NodeId(Happened.Outcome.Refusing), monotonicNow());
-  StoredJob Present;
-  if (Book.find(Order.Job, Present))
-    Policy->attemptUsed(Order.Job, Attempt(Present.Record.attempt()),
-                        Milliseconds(Present.Record.progress_ms()));
+  JobScheduler->gangRefused(Order.Job, Order.Number,
+                            NodeId(Received.Outcome.RefusingNode),
+                            monotonicNow());
+  StoredJob CurrentJob;
+  if (JobRecords.find(Order.Job, CurrentJob))
+    JobScheduler->attemptUsed(Order.Job, Attempt(CurrentJob.Record.attempt()),
+                              Milliseconds(CurrentJob.Record.progress_ms()));
 }
 
-/// Looks at everything again, after events were missed or a role began.
+/// Processes all jobs and worker heartbeats again, after events were dropped or
+/// when scheduling starts.
 void Coordinator::resync() {
-  for (const StoredJob &Job : Book.all())
-    on(JobEvent{Job});
-  for (const auto &Each : Known.alive(
-           wire::WORKER, Milliseconds(Of.WorkerSilenceMs), monotonicNow()))
-    on(BeatEvent{Each.Beat});
+  for (const StoredJob &Job : JobRecords.all())
+    handle(JobEvent{Job});
+  for (const auto &Each : Membership.alive(
+           wire::WORKER, Milliseconds(Opts.WorkerSilenceMs), monotonicNow()))
+    handle(HeartbeatEvent{Each.Beat});
 }
 
-void Coordinator::publish() {
+void Coordinator::publishDump() {
   auto Out = makeDump();
   static const char *const StageNames[] = {"idle", "listing", "settling",
                                            "deciding"};
-  Out->set("stage", StageNames[static_cast<int>(Now)]);
-  Out->set("epoch", Held.value());
+  Out->set("stage", StageNames[static_cast<int>(CurrentStage)]);
+  Out->set("epoch", HeldEpoch.value());
   Out->set("events_waiting", Events.fill());
   Out->set("events_capacity", Events.capacity());
   Out->set("events_refused", Events.refused());
   std::size_t OrdersWaiting = 0;
   std::size_t OrdersRefused = 0;
-  for (const auto &Ring : Orders) {
-    OrdersWaiting += Ring->fill();
-    OrdersRefused += Ring->refused();
+  for (const auto &Queue : WorkQueues) {
+    OrdersWaiting += Queue->fill();
+    OrdersRefused += Queue->refused();
   }
   Out->set("orders_waiting", OrdersWaiting);
-  Out->set("orders_capacity", ActorCount * OrderCapacity);
+  Out->set("orders_capacity", ExecutorCount * WorkQueueCapacity);
   Out->set("orders_refused", OrdersRefused);
-  Out->set("records_waiting", Records.size());
+  Out->set("records_waiting", RecordWriter.size());
   Out->set("gangs", Gangs.all().size());
   Out->set("workers_known", Workers.size());
-  if (Policy) {
-    const SchedulerFigures Numbers = Policy->figures();
-    Out->set("jobs_queued", Numbers.Queued);
-    Out->set("jobs_running", Numbers.Running);
-    Out->set("accelerators_free", Numbers.FreeAccelerators);
-    Out->set("accelerators", Numbers.TotalAccelerators);
-    Out->set("workers_quarantined", Numbers.Quarantined);
-    Out->set("guarantee_cells_unpackable", Numbers.UnpackableCells);
-    Out->set("reclaims", Numbers.Reclaims);
-    Out->set("compactions", Numbers.Compactions);
+  if (JobScheduler) {
+    const SchedulerFigures SchedulerStats = JobScheduler->figures();
+    Out->set("jobs_queued", SchedulerStats.Queued);
+    Out->set("jobs_running", SchedulerStats.Running);
+    Out->set("accelerators_free", SchedulerStats.FreeAccelerators);
+    Out->set("accelerators", SchedulerStats.TotalAccelerators);
+    Out->set("workers_quarantined", SchedulerStats.Quarantined);
+    Out->set("guarantee_cells_unpackable", SchedulerStats.UnpackableCells);
+    Out->set("reclaims", SchedulerStats.Reclaims);
+    Out->set("compactions", SchedulerStats.Compactions);
   }
   const std::lock_guard<std::mutex> Lock(DumpMutex);
-  Published = Out;
+  PublishedDump = Out;
 }
 
 Poco::JSON::Object::Ptr Coordinator::dump() const {
   const std::lock_guard<std::mutex> Lock(DumpMutex);
-  return Published;
+  return PublishedDump;
 }
 
 } // namespace baobabcove
--- a/src/coordinator/Coordinator.h
+++ b/src/coordinator/Coordinator.h
@@ -1,6 +1,3 @@
-/// \file
-/// The coordinator's role: drives the decision library for one cell.
-
 #ifndef BAOBABCOVE_COORDINATOR_COORDINATOR_H
 #define BAOBABCOVE_COORDINATOR_COORDINATOR_H
 
@@ -9,9 +6,9 @@
 #include "config/ConfigurationKeeper.h"
 #include "coordinator/GangActions.h"
 #include "coordinator/GangTracker.h"
-#include "coordinator/JobLife.h"
-#include "coordinator/LossJudge.h"
-#include "coordinator/Recorder.h"
+#include "coordinator/JobRecordWriter.h"
+#include "coordinator/JobStateMachine.h"
+#include "coordinator/WorkerLossDetector.h"
 #include "membership/Members.h"
 
 #include <Poco/JSON/Object.h>
@@ -25,144 +22,151 @@
 
 namespace baobabcove {
 
-/// Runs in every entry and decides only in the one that holds the role. One
-/// thread owns all decisions; it hears of the world by a ring of events and
-/// acts by rings of orders, one for each acting thread, so that the orders of
-/// one job stay in sequence.
+/// Schedules the gangs of one cell by the decision library. Runs in every
+/// entry, but decides only in the one that holds the coordinator role.
+///
+/// One thread makes all decisions. It receives events through a bounded queue
+/// and passes blocking work to executor threads, each with a bounded queue of
+/// its own. Work is assigned to an executor by the hash of its key, so that the
+/// orders of one job are carried out in sequence.
 class Coordinator {
 public:
-  Coordinator(const Settings &Of, const StateChart &JobChart, Store &Platform,
-              RpcPeers &Peers, JobBook &Book, const Members &Known,
-              ConfigurationKeeper &Keeper, Metrics &Figures);
+  Coordinator(const Settings &Opts, const StateChart &JobChart,
+              Store &ClusterStore, RpcPeers &Peers, JobBook &JobRecords,
+              const Members &Membership, ConfigurationKeeper &Configurations,
+              Metrics &ProcessMetrics);
   ~Coordinator();
 
-  /// The role was taken (with its epoch) or lost (zero).
+  /// Handles a change of the coordinator role: its epoch when it was acquired,
+  /// zero when it was lost.
   void roleChanged(Epoch Held);
-  /// A member announced itself.
-  void memberHeard(const wire::Heartbeat &Beat);
-  /// A job record has changed.
+  /// Handles the heartbeat of a member.
+  void memberHeard(const wire::Heartbeat &Heartbeat);
+  /// Handles a change of a job record.
   void jobChanged(const StoredJob &Job);
-  /// A configuration has come into force.
+  /// Handles a new configuration, which is already in force.
   void configurationChanged();
 
-  /// State for the dump.
+  /// Returns the coordinator's part of the state dump.
   Poco::JSON::Object::Ptr dump() const;
 
 private:
   struct RoleEvent {
-    Epoch Held;
+    Epoch HeldEpoch;
   };
-  struct BeatEvent {
-    wire::Heartbeat Beat;
+  struct HeartbeatEvent {
+    wire::Heartbeat Heartbeat;
   };
   struct JobEvent {
     StoredJob Job;
   };
   struct ConfigurationEvent {};
-  struct ListedEvent {
-    Epoch For;
+  struct ListingEvent {
+    Epoch ForEpoch;
     std::vector<StoredJob> Jobs;
     std::set<std::string> Entries;
   };
-  struct InventoriedEvent {
-    Epoch For;
-    wire::Heartbeat Beat;
+  struct InventoryEvent {
+    Epoch ForEpoch;
+    wire::Heartbeat Heartbeat;
     bool Accepted = false;
   };
-  struct StartedEvent {
+  struct StartFinishedEvent {
     StartOrder Order;
     StartOutcome Outcome;
   };
-  struct RecordedEvent {
+  struct EndRecordedEvent {
     JobId Job;
     Attempt Number;
   };
-  using Event =
-      std::variant<RoleEvent, BeatEvent, JobEvent, ConfigurationEvent,
-                   ListedEvent, InventoriedEvent, StartedEvent, RecordedEvent>;
-  using Action = std::function<void()>;
+  using Event = std::variant<RoleEvent, HeartbeatEvent, JobEvent,
+                             ConfigurationEvent, ListingEvent, InventoryEvent,
+                             StartFinishedEvent, EndRecordedEvent>;
+  using WorkItem = std::function<void()>;
 
-  /// A worker as this role sees it.
-  struct WorkerView {
+  /// What this process knows of a worker while it holds the role.
+  struct WorkerState {
     std::uint64_t Incarnation = 0;
+    /// Whether the agent has returned its inventory and accepted the epoch.
     bool Ready = false;
-    bool Asked = false;
-    bool Listed = false;
-    Instant HeardAt;
+    bool InventoryPending = false;
+    /// Whether the scheduler knows the worker.
+    bool Schedulable = false;
+    Instant LastHeartbeatAt;
     std::string Address;
   };
 
   enum class Stage { Idle, Listing, Settling, Deciding };
 
   void decideLoop();
-  void actLoop(std::size_t Index);
-  void post(Event Happened);
-  void act(const std::string &Name, Action Work);
-
-  void on(const RoleEvent &Happened);
-  void on(const BeatEvent &Happened);
-  void on(const JobEvent &Happened);
-  void on(const ConfigurationEvent &Happened);
-  void on(const ListedEvent &Happened);
-  void on(const InventoriedEvent &Happened);
-  void on(const StartedEvent &Happened);
-  void on(const RecordedEvent &Happened);
-
-  void listEverything();
-  void askInventory(const wire::Heartbeat &Beat);
-  void settleIfDone(Instant Now);
+  void executeLoop(std::size_t Index);
+  void postEvent(Event Received);
+  void enqueueWork(const std::string &Key, WorkItem Work);
+
+  void handle(const RoleEvent &Received);
+  void handle(const HeartbeatEvent &Received);
+  void handle(const JobEvent &Received);
+  void handle(const ConfigurationEvent &Received);
+  void handle(const ListingEvent &Received);
+  void handle(const InventoryEvent &Received);
+  void handle(const StartFinishedEvent &Received);
+  void handle(const EndRecordedEvent &Received);
+
+  void listJobsAndEntries();
+  void requestInventory(const wire::Heartbeat &Heartbeat);
+  void tryFinishSettling(Instant Now);
   void adoptJob(const StoredJob &Job);
   void applyGuarantees();
-  void observeWorker(const wire::Heartbeat &Beat);
-  void tellSchedulerOf(const wire::Heartbeat &Beat);
-  void news(TrackedGang &Gang, GangNews What);
-  void gangRuns(TrackedGang &Gang);
+  void handleWorkerReport(const wire::Heartbeat &Heartbeat);
+  void updateScheduler(const wire::Heartbeat &Heartbeat);
+  void handleTransition(TrackedGang &Gang, GangTransition Transition);
+  void gangRunning(TrackedGang &Gang);
   void gangEnded(TrackedGang &Gang);
   void recordEnd(const TrackedGang &Gang);
-  void stopStrays(const wire::Heartbeat &Beat);
+  void stopStrayParts(const wire::Heartbeat &Heartbeat);
   void decide(Instant Now);
   void carryOut(const StartGang &Start);
   void carryOut(const StopGang &Stop);
   void carryOut(const EndJob &End);
   void sendStop(TrackedGang &Gang, bool Checkpoint, Milliseconds Deadline);
-  void judgeLosses(Instant Now);
+  void detectLosses(Instant Now);
   void releaseBrokenGangs(Instant Now);
   void resync();
   void removeOldJobs(Instant Now);
-  void publish();
+  void publishDump();
   StopOrder stopOrderOf(const TrackedGang &Gang) const;
 
-  const Settings &Of;
-  const JobLife Life;
-  Store &Platform;
-  JobBook &Book;
-  const Members &Known;
-  ConfigurationKeeper &Keeper;
-  Metrics &Figures;
+  const Settings &Opts;
+  const JobStateMachine JobStates;
+  Store &ClusterStore;
+  JobBook &JobRecords;
+  const Members &Membership;
+  ConfigurationKeeper &Configurations;
+  Metrics &ProcessMetrics;
   Ring<Event> Events;
-  std::atomic<bool> MissedEvents{false};
-  std::vector<std::unique_ptr<Ring<Action>>> Orders;
-  Recorder Records;
+  std::atomic<bool> EventsDropped{false};
+  std::vector<std::unique_ptr<Ring<WorkItem>>> WorkQueues;
+  JobRecordWriter RecordWriter;
   GangActions Actions;
 
-  // Owned by the deciding thread.
-  Stage Now = Stage::Idle;
-  Epoch Held;
-  std::unique_ptr<Scheduler> Policy;
+  // Used by the decision thread only.
+  Stage CurrentStage = Stage::Idle;
+  Epoch HeldEpoch;
+  std::unique_ptr<Scheduler> JobScheduler;
   GangTracker Gangs;
-  LossJudge Losses;
-  std::map<std::string, WorkerView> Workers;
-  std::vector<StoredJob> ToAdopt;
-  std::set<std::string> Scheduled;
-  Instant StageSince;
-  Instant LastDecision;
-  Instant LastCleanup;
+  WorkerLossDetector LossDetector;
+  std::map<std::string, WorkerState> Workers;
+  std::vector<StoredJob> JobsToAdopt;
+  std::set<std::string> ScheduledJobs;
+  Instant StageStartedAt;
+  Instant LastDecisionAt;
+  Instant LastCleanupAt;
 
   mutable std::mutex DumpMutex;
-  Poco::JSON::Object::Ptr Published;
+  Poco::JSON::Object::Ptr PublishedDump;
   std::atomic<bool> Stopping{false};
-  std::vector<std::thread> Actors;
-  std::thread Decider;
+  std::vector<std::thread> ExecutorThreads;
+  std::thread DecisionThread;
 };
 
 } // namespace baobabcove
--- a/src/coordinator/GangActions.h
+++ b/src/coordinator/GangActions.h
@@ -1,13 +1,10 @@
-/// \file
-/// The calls to agents by which a coordinator's decisions take effect.
-
 #ifndef BAOBABCOVE_COORDINATOR_GANGACTIONS_H
 #define BAOBABCOVE_COORDINATOR_GANGACTIONS_H
 
 #include "baobabcove/Ids.h"
 #include "config/Settings.h"
-#include "coordinator/JobLife.h"
-#include "coordinator/Recorder.h"
+#include "coordinator/JobRecordWriter.h"
+#include "coordinator/JobStateMachine.h"
 #include "entry/JobBook.h"
 #include "rpc/Rpc.h"
 
@@ -15,53 +12,60 @@
 
 namespace baobabcove {
 
-/// A gang to be started.
+/// Order to start a gang.
 struct StartOrder {
-  Epoch By;
+  Epoch IssuerEpoch;
   JobId Job;
   Attempt Number;
   std::vector<wire::GangMember> Members;
   bool Borrowed = false;
-  Milliseconds Resume{0};
+  /// Run time saved by the last checkpoint, from which the gang resumes.
+  Milliseconds ResumeFrom{0};
 };
 
-/// A gang to be stopped, or its ended parts to be forgotten.
+/// Order to stop a gang, or to delete the records of its ended parts.
 struct StopOrder {
-  Epoch By;
+  Epoch IssuerEpoch;
   JobId Job;
   Attempt Number;
   std::vector<wire::GangMember> Members;
   bool Checkpoint = false;
   Milliseconds Deadline{0};
+  /// Whether the agents delete the records of the parts afterwards.
   bool Forget = false;
 };
 
-/// How a start went.
+/// Result of an order to start a gang.
 struct StartOutcome {
-  /// False when surely nothing of the gang will run.
+  /// False only when it is certain that no part of the gang will run.
   bool MayRun = false;
-  /// The member that refused, if one did.
-  std::string Refusing;
+  /// The member that refused its reservation; empty if none did.
+  std::string RefusingNode;
   Error Reason;
 };
 
-/// Carries orders out. Thread-safe; each call blocks until it is done.
+/// Carries out the coordinator's orders by calls to the agents of a gang's
+/// members. Thread-safe; each function blocks until its calls have returned.
 class GangActions {
 public:
-  GangActions(RpcPeers &Peers, JobBook &Book, const Recorder &Records,
-              const JobLife &Life);
+  GangActions(RpcPeers &Peers, JobBook &JobRecords,
+              const JobRecordWriter &RecordWriter,
+              const JobStateMachine &JobStates);
 
-  /// Reserves on every member, records the start, then arms every member. The
-  /// record comes before the first order to run, so that a successor knows of
-  /// whatever may run.
+  /// Reserves accelerators on every member, stores the start in the job record,
+  /// then arms every member. The record is written before the first order to
+  /// run, so that the next coordinator knows of every gang that may run.
   StartOutcome start(const StartOrder &Order);
 
-  /// Tells the lead first, so that it lets the other members checkpoint.
+  /// Stops every member. Calls the lead agent first, so that it lets the other
+  /// members write their checkpoints.
   void stop(const StopOrder &Order);
 
-  /// Asks an agent for its parts and fences it against older epochs.
+  /// Returns the parts that an agent holds. From then on the agent refuses
+  /// orders of epochs older than \p IssuerEpoch. Fails when the agent is
+  /// unreachable or has seen a newer epoch.
   Expected<wire::InventoryReply> inventory(const std::string &Address,
-                                           Epoch By);
+                                           Epoch IssuerEpoch);
 
 private:
   StartOutcome reserveAll(const StartOrder &Order, const wire::JobSpec &Spec);
@@ -69,9 +73,9 @@
   void armAll(const StartOrder &Order, const wire::JobRecord &Record);
 
   RpcPeers &Peers;
-  JobBook &Book;
-  const Recorder &Records;
-  const JobLife &Life;
+  JobBook &JobRecords;
+  const JobRecordWriter &RecordWriter;
+  const JobStateMachine &JobStates;
 };
 
 } // namespace baobabcove
--- a/src/coordinator/GangTracker.cpp
+++ b/src/coordinator/GangTracker.cpp
@@ -17,14 +17,14 @@
       [&](const wire::GangPart &Part) { return Part.phase() == Phase; });
 }
 
-/// An end that the lead answers by stopping the whole gang at once, even while
-/// members are told to write checkpoints.
+/// Returns whether \p Part has ended in a way that makes the lead agent stop
+/// the whole gang at once, even while members are writing checkpoints.
 bool breaksGang(const wire::GangPart &Part) {
   return isTerminal(Part.phase()) && Part.phase() != wire::SUCCEEDED &&
          !(Part.phase() == wire::STOPPED && Part.checkpointed());
 }
 
-NodeId firstWith(const TrackedGang &Gang, wire::GangPhase Phase) {
+NodeId firstNodeInPhase(const TrackedGang &Gang, wire::GangPhase Phase) {
   for (std::size_t I = 0; I < Gang.Parts.size(); ++I)
     if (Gang.Parts[I].phase() == Phase)
       return NodeId(Gang.Members[I].node());
@@ -35,8 +35,8 @@
 
 void GangTracker::add(TrackedGang Gang) {
   Gang.Parts.resize(Gang.Members.size());
-  Key Name{Gang.Job, Gang.Number.value()};
-  Gangs[Name] = std::move(Gang);
+  Key GangKey{Gang.Job, Gang.Number.value()};
+  Gangs[GangKey] = std::move(Gang);
 }
 
 TrackedGang *GangTracker::find(const JobId &Job, Attempt Number) {
@@ -48,9 +48,9 @@
   Gangs.erase({Job, Number.value()});
 }
 
-std::vector<TrackedGang *> GangTracker::on(const std::string &Node) {
+std::vector<TrackedGang *> GangTracker::gangsOn(const std::string &Node) {
   std::vector<TrackedGang *> Result;
-  for (auto &[Name, Gang] : Gangs) {
+  for (auto &[GangKey, Gang] : Gangs) {
     if (Gang.Ended)
       continue;
     for (const auto &Member : Gang.Members)
@@ -60,22 +60,23 @@
   return Result;
 }
 
-GangNews GangTracker::observe(TrackedGang &Gang, const wire::Heartbeat &Report,
-                              Instant Now) {
+GangTransition GangTracker::handleReport(TrackedGang &Gang,
+                                         const wire::Heartbeat &Report,
+                                         Instant Now) {
   for (std::size_t I = 0; I < Gang.Members.size(); ++I) {
     if (Gang.Members[I].node() != Report.node() ||
         isTerminal(Gang.Parts[I].phase()))
       continue;
-    observePart(Gang, I, Report, Now);
+    updatePart(Gang, I, Report, Now);
     if (breaksGang(Gang.Parts[I]) && !Gang.BrokenSince)
       Gang.BrokenSince = Now;
   }
-  return judge(Gang);
+  return evaluate(Gang);
 }
 
-void GangTracker::observePart(TrackedGang &Gang, std::size_t Member,
-                              const wire::Heartbeat &Report, Instant Now) {
-  wire::GangPart &Known = Gang.Parts[Member];
+void GangTracker::updatePart(TrackedGang &Gang, std::size_t Member,
+                             const wire::Heartbeat &Report, Instant Now) {
+  wire::GangPart &LastReported = Gang.Parts[Member];
   const auto &Parts = Report.worker().parts();
   const auto Found =
       std::find_if(Parts.begin(), Parts.end(), [&](const auto &Part) {
@@ -83,71 +84,73 @@
                Part.attempt() == Gang.Number.value();
       });
   if (Found != Parts.end()) {
-    Known = *Found;
+    LastReported = *Found;
     return;
   }
-  if (Now < Gang.SettledAt)
+  if (Now < Gang.AbsenceCountsFrom)
     return;
-  // An agent keeps what has run until told to forget it. So in the same
-  // life of the agent a missing part never ran; another life cannot tell.
-  const bool SameLife =
+  // An agent keeps every part that has run until it is ordered to delete it.
+  // A part missing in the same incarnation of the agent has therefore never
+  // run; in another incarnation that is unknown.
+  const bool SameIncarnation =
       Report.incarnation() == Gang.Members[Member].incarnation();
-  Known.set_may_have_run(!SameLife);
-  Known.set_phase(wire::LOST);
+  LastReported.set_may_have_run(!SameIncarnation);
+  LastReported.set_phase(wire::LOST);
 }
 
-GangNews GangTracker::memberLost(TrackedGang &Gang, const std::string &Node) {
+GangTransition GangTracker::markMemberLost(TrackedGang &Gang,
+                                           const std::string &Node) {
   for (std::size_t I = 0; I < Gang.Members.size(); ++I) {
     if (Gang.Members[I].node() != Node || isTerminal(Gang.Parts[I].phase()))
       continue;
     Gang.Parts[I].set_phase(wire::LOST);
     Gang.Parts[I].set_may_have_run(true);
   }
-  return judge(Gang);
+  return evaluate(Gang);
 }
 
-GangNews GangTracker::releaseSilent(
-    TrackedGang &Gang, Instant Now, Milliseconds Patience,
-    const std::function<bool(const NodeId &)> &IsSilent) {
-  if (!Gang.BrokenSince || Now - *Gang.BrokenSince <= Patience)
-    return GangNews::Nothing;
-  bool Released = false;
+GangTransition GangTracker::markUnreachableMembersLost(
+    TrackedGang &Gang, Instant Now, Milliseconds Delay,
+    const std::function<bool(const NodeId &)> &IsUnreachable) {
+  if (!Gang.BrokenSince || Now - *Gang.BrokenSince <= Delay)
+    return GangTransition::None;
+  bool AnyMarked = false;
   for (std::size_t I = 0; I < Gang.Members.size(); ++I) {
     if (isTerminal(Gang.Parts[I].phase()) ||
-        !IsSilent(NodeId(Gang.Members[I].node())))
+        !IsUnreachable(NodeId(Gang.Members[I].node())))
       continue;
     Gang.Parts[I].set_phase(wire::LOST);
     Gang.Parts[I].set_may_have_run(true);
-    Released = true;
+    AnyMarked = true;
   }
-  return Released ? judge(Gang) : GangNews::Nothing;
+  return AnyMarked ? evaluate(Gang) : GangTransition::None;
 }
 
-GangNews GangTracker::judge(TrackedGang &Gang) {
-  const auto Ended = [](const wire::GangPart &Part) {
+GangTransition GangTracker::evaluate(TrackedGang &Gang) {
+  const auto HasEnded = [](const wire::GangPart &Part) {
     return isTerminal(Part.phase());
   };
-  const auto RanOn = [](const wire::GangPart &Part) {
+  const auto IsRunningOrSucceeded = [](const wire::GangPart &Part) {
     return Part.phase() == wire::RUNNING || Part.phase() == wire::SUCCEEDED;
   };
-  if (std::all_of(Gang.Parts.begin(), Gang.Parts.end(), Ended)) {
-    settleEnd(Gang);
-    return GangNews::Ended;
+  if (std::all_of(Gang.Parts.begin(), Gang.Parts.end(), HasEnded)) {
+    setEnd(Gang);
+    return GangTransition::Ended;
   }
   if (hasPhase(Gang, wire::FAILED) || hasPhase(Gang, wire::LOST))
-    return GangNews::Broken;
+    return GangTransition::Broken;
   if (!Gang.Started &&
-      std::all_of(Gang.Parts.begin(), Gang.Parts.end(), RanOn)) {
+      std::all_of(Gang.Parts.begin(), Gang.Parts.end(), IsRunningOrSucceeded)) {
     Gang.Started = true;
-    return GangNews::AllRunning;
+    return GangTransition::AllRunning;
   }
-  return GangNews::Nothing;
+  return GangTransition::None;
 }
 
-void GangTracker::settleEnd(TrackedGang &Gang) {
+void GangTracker::setEnd(TrackedGang &Gang) {
   Gang.Ended = true;
   GangEnd &End = Gang.End;
-  End.Progress = Gang.Kept;
+  End.Progress = Gang.CheckpointedProgress;
   End.MayHaveRun = false;
   End.Checkpointed = true;
   std::uint64_t Longest = 0;
@@ -160,10 +163,10 @@
   }
   if (hasPhase(Gang, wire::FAILED)) {
     End.Result = GangResult::Failed;
-    End.Blamed = firstWith(Gang, wire::FAILED);
+    End.Blamed = firstNodeInPhase(Gang, wire::FAILED);
   } else if (hasPhase(Gang, wire::LOST)) {
     End.Result = GangResult::Lost;
-    End.Blamed = firstWith(Gang, wire::LOST);
+    End.Blamed = firstNodeInPhase(Gang, wire::LOST);
   } else if (hasPhase(Gang, wire::STOPPED)) {
     End.Result = GangResult::Stopped;
     if (End.Checkpointed)
@@ -175,7 +178,7 @@
 }
 
 std::vector<wire::GangPart>
-GangTracker::strays(const wire::Heartbeat &Report) const {
+GangTracker::strayParts(const wire::Heartbeat &Report) const {
   std::vector<wire::GangPart> Result;
   for (const auto &Part : Report.worker().parts())
     if (Gangs.count({JobId(Part.job()), Part.attempt()}) == 0)
--- a/src/coordinator/GangTracker.h
+++ b/src/coordinator/GangTracker.h
@@ -1,7 +1,3 @@
-/// \file
-/// What is known of the gangs under way, from their members' reports. No
-/// input or output.
-
 #ifndef BAOBABCOVE_COORDINATOR_GANGTRACKER_H
 #define BAOBABCOVE_COORDINATOR_GANGTRACKER_H
 
@@ -19,31 +15,35 @@
 
 namespace baobabcove {
 
-/// A gang under way.
+/// State of a gang that was ordered to start and whose end is not yet stored.
 struct TrackedGang {
   JobId Job;
   Attempt Number;
   std::vector<wire::GangMember> Members;
-  /// The last phase seen of each member; unspecified before the first report.
+  /// The last reported part of each member, in the order of Members; its phase
+  /// is unspecified before the first report.
   std::vector<wire::GangPart> Parts;
-  /// A part that is missing from a report counts as gone only after this.
-  Instant SettledAt;
-  /// Run time that an earlier checkpoint kept.
-  Milliseconds Kept{0};
+  /// A part that is missing from a report counts as lost only from this time
+  /// on.
+  Instant AbsenceCountsFrom;
+  /// Run time saved by the checkpoint that this attempt started from.
+  Milliseconds CheckpointedProgress{0};
   bool Started = false;
   bool StopSent = false;
-  Instant StopAgainAt;
-  /// When a member first told that it had ended without success and without a
-  /// checkpoint, after which the lead lets go of all others.
+  Instant RetryStopAt;
+  /// When a member was first reported to have ended with neither success nor a
+  /// checkpoint. From then on the lead agent stops the other members, or their
+  /// leases expire.
   std::optional<Instant> BrokenSince;
   bool Ended = false;
   GangEnd End;
 };
 
-/// What the owner is to do about a gang after a report.
-enum class GangNews { Nothing, AllRunning, Broken, Ended };
+/// Change of a gang's state that its owner must handle after a report.
+enum class GangTransition { None, AllRunning, Broken, Ended };
 
-/// Follows gangs by the parts that agents report.
+/// Tracks the state of gangs by the parts that agents report. Does no input or
+/// output.
 class GangTracker {
 public:
   using Key = std::pair<JobId, std::uint64_t>;
@@ -53,30 +53,31 @@
   void erase(const JobId &Job, Attempt Number);
   const std::map<Key, TrackedGang> &all() const { return Gangs; }
 
-  /// Gangs that have a member on \p Node and have not ended.
-  std::vector<TrackedGang *> on(const std::string &Node);
+  /// Returns the gangs that have a member on \p Node and have not ended.
+  std::vector<TrackedGang *> gangsOn(const std::string &Node);
 
-  /// Takes the report of a worker into account for one gang.
-  GangNews observe(TrackedGang &Gang, const wire::Heartbeat &Report,
-                   Instant Now);
+  /// Updates \p Gang from the report of a worker.
+  GangTransition handleReport(TrackedGang &Gang, const wire::Heartbeat &Report,
+                              Instant Now);
 
-  /// The worker \p Node is surely gone.
-  GangNews memberLost(TrackedGang &Gang, const std::string &Node);
+  /// Marks the members on \p Node as lost, as the worker has certainly stopped.
+  GangTransition markMemberLost(TrackedGang &Gang, const std::string &Node);
 
-  /// Takes the members for which \p IsSilent holds for lost once the gang has
-  /// been broken for longer than \p Patience, which must cover the time in
-  /// which the lead notices and the leases of the others lapse.
-  GangNews releaseSilent(TrackedGang &Gang, Instant Now, Milliseconds Patience,
-                         const std::function<bool(const NodeId &)> &IsSilent);
+  /// Marks the members for which \p IsUnreachable holds as lost once the gang
+  /// has been broken for longer than \p Delay. The delay must cover the time
+  /// until the lead agent notices and the leases of the other members expire.
+  GangTransition markUnreachableMembersLost(
+      TrackedGang &Gang, Instant Now, Milliseconds Delay,
+      const std::function<bool(const NodeId &)> &IsUnreachable);
 
-  /// Parts in a report that belong to no gang under way.
-  std::vector<wire::GangPart> strays(const wire::Heartbeat &Report) const;
+  /// Returns the parts in a report that belong to no tracked gang.
+  std::vector<wire::GangPart> strayParts(const wire::Heartbeat &Report) const;
 
 private:
-  static void observePart(TrackedGang &Gang, std::size_t Member,
-                          const wire::Heartbeat &Report, Instant Now);
-  static GangNews judge(TrackedGang &Gang);
-  static void settleEnd(TrackedGang &Gang);
+  static void updatePart(TrackedGang &Gang, std::size_t Member,
+                         const wire::Heartbeat &Report, Instant Now);
+  static GangTransition evaluate(TrackedGang &Gang);
+  static void setEnd(TrackedGang &Gang);
 
   std::map<Key, TrackedGang> Gangs;
 };
--- /dev/null
+++ b/src/coordinator/JobStateMachine.h
@@ -0,0 +1,27 @@
+#ifndef BAOBABCOVE_COORDINATOR_JOBSTATEMACHINE_H
+#define BAOBABCOVE_COORDINATOR_JOBSTATEMACHINE_H
+
+#include "baobabcove/StateChart.h"
+#include "base/Metrics.h"
+#include "wire.pb.h"
+
+namespace baobabcove {
+
+/// Applies the events of the job state chart to job records. Thread-safe.
+class JobStateMachine {
+public:
+  JobStateMachine(const StateChart &Chart, Metrics &ProcessMetrics)
+      : Chart(Chart), ProcessMetrics(ProcessMetrics) {}
+
+  /// Moves \p Record to the state that follows \p Event. Returns false, leaves
+  /// the record unchanged and counts the event if the chart does not allow it.
+  bool applyEvent(wire::JobRecord &Record, const std::string &Event) const;
+
+private:
+  const StateChart &Chart;
+  Metrics &ProcessMetrics;
+};
+
+} // namespace baobabcove
+
+#endif // BAOBABCOVE_COORDINATOR_JOBSTATEMACHINE_H
--- a/src/coordinator/RoleKeeper.cpp
+++ b/src/coordinator/RoleKeeper.cpp
@@ -8,14 +8,15 @@
 namespace {
 
 constexpr int RenewalsPerLease = 4;
-constexpr Milliseconds SeekPeriod{500};
+constexpr Milliseconds AcquirePeriod{500};
 
 } // namespace
 
-RoleKeeper::RoleKeeper(const Settings &Of, std::uint64_t Incarnation,
-                       Store &Platform, Listener Changed)
-    : Of(Of), Incarnation(Incarnation), Platform(Platform),
-      Changed(std::move(Changed)), Key("roles/" + Of.Cell + "/coordinator") {}
+RoleKeeper::RoleKeeper(const Settings &Opts, std::uint64_t Incarnation,
+                       Store &ClusterStore, Listener OnRoleChange)
+    : Opts(Opts), Incarnation(Incarnation), ClusterStore(ClusterStore),
+      OnRoleChange(std::move(OnRoleChange)),
+      Key("roles/" + Opts.Cell + "/coordinator") {}
 
 RoleKeeper::~RoleKeeper() { resign(); }
 
@@ -33,75 +34,78 @@
   if (!Thread.joinable())
     return;
   Thread.join();
-  if (Held != 0)
-    (void)Platform.revokeLease(Lease);
-  Held = 0;
+  if (HeldEpoch != 0)
+    (void)ClusterStore.revokeLease(LeaseId);
+  HeldEpoch = 0;
 }
 
 void RoleKeeper::run() {
   std::unique_lock<std::mutex> Lock(Mutex);
   while (!Stopping) {
     Lock.unlock();
-    if (Held != 0)
-      keep();
+    if (HeldEpoch != 0)
+      renew();
     else
-      seek();
+      tryAcquire();
     Lock.lock();
-    const Milliseconds Pause =
-        Held != 0 ? Milliseconds(Of.RoleLeaseS * 1000 / RenewalsPerLease)
-                  : SeekPeriod;
-    Wake.wait_for(Lock, Pause, [&] { return Stopping; });
+    const Milliseconds Period =
+        HeldEpoch != 0 ? Milliseconds(Opts.RoleLeaseS * 1000 / RenewalsPerLease)
+                       : AcquirePeriod;
+    Wake.wait_for(Lock, Period, [&] { return Stopping; });
   }
 }
 
-void RoleKeeper::keep() {
-  const Instant Asked = monotonicNow();
-  const auto Renewed = Platform.renewLease(Lease);
+void RoleKeeper::renew() {
+  const Instant SentAt = monotonicNow();
+  const auto Renewed = ClusterStore.renewLease(LeaseId);
   if (Renewed)
-    Confirmed = Asked;
+    ConfirmedAt = SentAt;
   if (!Renewed && Renewed.error().Code == ResultCode::CompareFailed)
-    lose();
+    onLost();
 }
 
-void RoleKeeper::lose() {
-  LOG4CPLUS_WARN(logOf("role"), "Lost the coordinator's role.");
-  Held = 0;
-  Changed(Epoch());
+void RoleKeeper::onLost() {
+  LOG4CPLUS_WARN(logOf("role"), "Lost the coordinator role.");
+  HeldEpoch = 0;
+  OnRoleChange(Epoch());
 }
 
-void RoleKeeper::seek() {
-  const auto Present = Platform.read(Key);
-  if (!Present)
+void RoleKeeper::tryAcquire() {
+  const auto Current = ClusterStore.read(Key);
+  if (!Current)
     return;
-  if (Present->Revision != 0) {
-    Highest = static_cast<std::uint64_t>(Present->Revision);
+  if (Current->Revision != 0) {
+    HighestEpoch = static_cast<std::uint64_t>(Current->Revision);
     wire::RoleRecord Holder;
-    // A write whose answer was lost may have given the role to this life.
-    if (Lease != 0 && Holder.ParseFromString(Present->Value) &&
-        Holder.node() == Of.Node && Holder.incarnation() == Incarnation)
-      gain(Highest);
+    // This incarnation may have acquired the role by a write whose reply was
+    // lost.
+    if (LeaseId != 0 && Holder.ParseFromString(Current->Value) &&
+        Holder.node() == Opts.Node && Holder.incarnation() == Incarnation)
+      onAcquired(HighestEpoch);
     return;
   }
-  const auto Granted = Platform.grantLease(std::chrono::seconds(Of.RoleLeaseS));
+  const auto Granted =
+      ClusterStore.grantLease(std::chrono::seconds(Opts.RoleLeaseS));
   if (!Granted)
     return;
-  Lease = *Granted;
-  wire::RoleRecord Mine;
-  Mine.set_node(Of.Node);
-  Mine.set_rpc_address(RpcAddress);
-  Mine.set_incarnation(Incarnation);
-  const auto Taken = Platform.swap(Key, 0, Mine.SerializeAsString(), Lease);
-  if (Taken)
-    gain(static_cast<std::uint64_t>(*Taken));
+  LeaseId = *Granted;
+  wire::RoleRecord Record;
+  Record.set_node(Opts.Node);
+  Record.set_rpc_address(RpcAddress);
+  Record.set_incarnation(Incarnation);
+  const auto Written =
+      ClusterStore.swap(Key, 0, Record.SerializeAsString(), LeaseId);
+  if (Written)
+    onAcquired(static_cast<std::uint64_t>(*Written));
 }
 
-void RoleKeeper::gain(std::uint64_t Revision) {
+void RoleKeeper::onAcquired(std::uint64_t Revision) {
   LOG4CPLUS_INFO(logOf("role"),
-                 "Took the coordinator's role, epoch " << Revision << ".");
-  Confirmed = monotonicNow();
-  Held = Revision;
-  Highest = Revision;
-  Changed(Epoch(Revision));
+                 "Acquired the coordinator role, epoch " << Revision << ".");
+  ConfirmedAt = monotonicNow();
+  HeldEpoch = Revision;
+  HighestEpoch = Revision;
+  OnRoleChange(Epoch(Revision));
 }
 
 } // namespace baobabcove
--- a/src/coordinator/RoleKeeper.h
+++ b/src/coordinator/RoleKeeper.h
@@ -1,6 +1,3 @@
-/// \file
-/// Takes and keeps the role of a cell's coordinator.
-
 #ifndef BAOBABCOVE_COORDINATOR_ROLEKEEPER_H
 #define BAOBABCOVE_COORDINATOR_ROLEKEEPER_H
 
@@ -17,50 +14,54 @@
 
 namespace baobabcove {
 
-/// Holds the role by a key in the store that is bound to a lease. The store's
-/// revision of that key is the epoch: it rises with every change of hands.
+/// Elects the coordinator of a cell by a key in the store that is bound to a
+/// lease. The store's revision of that key is the epoch, so that the epoch
+/// rises each time another process acquires the role.
 ///
-/// While the store is down the holder goes on: nobody else can take the role,
-/// and if it has been taken unseen, agents refuse the older epoch.
+/// While the store is unavailable the holder keeps the role: no other process
+/// can acquire it, and if one has done so unnoticed, agents refuse the older
+/// epoch.
 class RoleKeeper {
 public:
-  /// Hears that the role was taken (with its epoch) or lost (epoch zero).
+  /// Called when this process acquires the role, with its epoch, and when it
+  /// loses the role, with epoch zero.
   using Listener = std::function<void(Epoch)>;
 
-  RoleKeeper(const Settings &Of, std::uint64_t Incarnation, Store &Platform,
-             Listener Changed);
+  RoleKeeper(const Settings &Opts, std::uint64_t Incarnation,
+             Store &ClusterStore, Listener OnRoleChange);
   ~RoleKeeper();
 
-  /// Begins to seek the role. \p RpcAddress is told to others.
+  /// Starts competing for the role. \p RpcAddress is stored with the key for
+  /// other processes.
   void start(const std::string &RpcAddress);
 
-  /// Gives the role up, for a planned stop.
+  /// Stops competing and releases the role if held. For a planned shutdown.
   void resign();
 
-  /// The epoch held, or zero.
-  Epoch held() const { return Epoch(Held); }
-  /// When the store last confirmed the role.
-  Instant confirmedAt() const { return Confirmed; }
-  /// The highest epoch seen in the store.
-  Epoch highest() const { return Epoch(Highest); }
+  /// Returns the epoch of the held role, or zero when it is not held.
+  Epoch held() const { return Epoch(HeldEpoch); }
+  /// Returns when the store last confirmed the role.
+  Instant confirmedAt() const { return ConfirmedAt; }
+  /// Returns the highest epoch seen in the store.
+  Epoch highest() const { return Epoch(HighestEpoch); }
 
 private:
   void run();
-  void seek();
-  void keep();
-  void lose();
-  void gain(std::uint64_t Revision);
+  void tryAcquire();
+  void renew();
+  void onLost();
+  void onAcquired(std::uint64_t Revision);
 
-  const Settings &Of;
+  const Settings &Opts;
   const std::uint64_t Incarnation;
-  Store &Platform;
-  const Listener Changed;
+  Store &ClusterStore;
+  const Listener OnRoleChange;
   const std::string Key;
   std::string RpcAddress;
-  std::int64_t Lease = 0;
-  std::atomic<std::uint64_t> Held{0};
-  std::atomic<std::uint64_t> Highest{0};
-  std::atomic<Instant> Confirmed{Instant()};
+  std::int64_t LeaseId = 0;
+  std::atomic<std::uint64_t> HeldEpoch{0};
+  std::atomic<std::uint64_t> HighestEpoch{0};
+  std::atomic<Instant> ConfirmedAt{Instant()};
   std::mutex Mutex;
   std::condition_variable Wake;
   bool Stopping = false;
--- a/src/coordinator/WireTypes.cpp
+++ b/src/coordinator/WireTypes.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-Adjacency adjacencyOf(wire::Adjacency Near) {
-  switch (Near) {
+Adjacency adjacencyOf(wire::Adjacency Value) {
+  switch (Value) {
   case wire::SAME_WORKER:
     return Adjacency::SameWorker;
   case wire::SAME_RACK:
@@ -21,9 +21,9 @@
 
 } // namespace
 
-Instant instantOf(std::int64_t WallMs) {
-  const std::int64_t Age = std::max<std::int64_t>(0, wallClockMs() - WallMs);
-  return monotonicNow() - Milliseconds(Age);
+Instant toMonotonic(std::int64_t WallMs) {
+  const std::int64_t AgeMs = std::max<std::int64_t>(0, wallClockMs() - WallMs);
+  return monotonicNow() - Milliseconds(AgeMs);
 }
 
 JobInfo shapeOf(const wire::JobSpec &Spec) {
@@ -45,26 +45,26 @@
 JobInfo jobInfoOf(const wire::JobRecord &Record) {
   JobInfo Info = shapeOf(Record.spec());
   Info.Id = JobId(Record.id());
-  Info.Submitted = instantOf(Record.submitted_at_ms());
+  Info.Submitted = toMonotonic(Record.submitted_at_ms());
   return Info;
 }
 
-WorkerInfo workerInfoOf(const wire::Heartbeat &Beat) {
+WorkerInfo workerInfoOf(const wire::Heartbeat &Heartbeat) {
   WorkerInfo Info;
-  Info.Id = NodeId(Beat.node());
-  Info.Place = PlaceName(Beat.location().place());
-  Info.DataCentre = DataCentreName(Beat.location().data_centre());
-  Info.Rack = RackName(Beat.location().rack());
-  Info.Accelerators = Beat.worker().accelerators();
-  Info.Cores = Beat.worker().cores();
-  Info.MemoryMb = Beat.worker().memory_mb();
-  Info.Draining = Beat.draining();
+  Info.Id = NodeId(Heartbeat.node());
+  Info.Place = PlaceName(Heartbeat.location().place());
+  Info.DataCentre = DataCentreName(Heartbeat.location().data_centre());
+  Info.Rack = RackName(Heartbeat.location().rack());
+  Info.Accelerators = Heartbeat.worker().accelerators();
+  Info.Cores = Heartbeat.worker().cores();
+  Info.MemoryMb = Heartbeat.worker().memory_mb();
+  Info.Draining = Heartbeat.draining();
   return Info;
 }
 
-std::vector<WorkspaceGuarantee> guaranteesOf(const Configuration &Present) {
+std::vector<WorkspaceGuarantee> guaranteesOf(const Configuration &Current) {
   std::vector<WorkspaceGuarantee> Result;
-  for (const auto &[Name, Workspace] : Present.Workspaces)
+  for (const auto &[Name, Workspace] : Current.Workspaces)
     Result.push_back({WorkspaceId(Name), Workspace.Guarantee});
   return Result;
 }
--- a/src/coordinator/WireTypes.h
+++ b/src/coordinator/WireTypes.h
@@ -1,5 +1,6 @@
 /// \file
-/// Messages and records in the types of the decision library.
+/// Conversions from protocol messages and stored records to the types of the
+/// decision library.
 
 #ifndef BAOBABCOVE_COORDINATOR_WIRETYPES_H
 #define BAOBABCOVE_COORDINATOR_WIRETYPES_H
@@ -10,17 +11,18 @@
 
 namespace baobabcove {
 
-/// The point on this process's clock that lies as long ago as a wall time.
-Instant instantOf(std::int64_t WallMs);
+/// Converts a wall-clock time, in milliseconds since the Unix epoch, to the
+/// monotonic clock of this process. A time in the future becomes the present.
+Instant toMonotonic(std::int64_t WallMs);
 
-/// A job without its id and time of submission.
+/// Converts a job specification; the id and the time of submission stay unset.
 JobInfo shapeOf(const wire::JobSpec &Spec);
 
 JobInfo jobInfoOf(const wire::JobRecord &Record);
-WorkerInfo workerInfoOf(const wire::Heartbeat &Beat);
+WorkerInfo workerInfoOf(const wire::Heartbeat &Heartbeat);
 
-/// The guarantees of all workspaces.
-std::vector<WorkspaceGuarantee> guaranteesOf(const Configuration &Present);
+/// Returns the guarantees of all workspaces.
+std::vector<WorkspaceGuarantee> guaranteesOf(const Configuration &Current);
 
 } // namespace baobabcove
 
--- a/tests/coordinator/GangTrackerTest.cpp
+++ b/tests/coordinator/GangTrackerTest.cpp
@@ -12,8 +12,8 @@
     TrackedGang Gang;
     Gang.Job = JobId("j");
     Gang.Number = Attempt(1);
-    Gang.SettledAt = Now;
-    Gang.Kept = Milliseconds(40);
+    Gang.AbsenceCountsFrom = Now;
+    Gang.CheckpointedProgress = Milliseconds(40);
     for (int I = 0; I < Members; ++I) {
       wire::GangMember Member;
       Member.set_node("n" + std::to_string(I));
@@ -24,91 +24,94 @@
     return *Tracker.find(JobId("j"), Attempt(1));
   }
 
-  GangNews report(TrackedGang & Gang, int Member, wire::GangPhase Phase,
-                  std::uint64_t Progress = 0, bool Checkpointed = false) {
-    wire::Heartbeat Beat = beat(Member, 7);
-    wire::GangPart &Part = *Beat.mutable_worker()->add_parts();
+  GangTransition report(TrackedGang & Gang, int Member, wire::GangPhase Phase,
+                        std::uint64_t Progress = 0, bool Checkpointed = false) {
+    wire::Heartbeat Heartbeat = heartbeat(Member, 7);
+    wire::GangPart &Part = *Heartbeat.mutable_worker()->add_parts();
     Part.set_job("j");
     Part.set_attempt(1);
     Part.set_phase(Phase);
     Part.set_progress_ms(Progress);
     Part.set_checkpointed(Checkpointed);
     Part.set_may_have_run(Phase != wire::RESERVED && Phase != wire::ARMED);
-    return Tracker.observe(Gang, Beat, Now);
+    return Tracker.handleReport(Gang, Heartbeat, Now);
   }
 
-  static wire::Heartbeat beat(int Member, std::uint64_t Life) {
-    wire::Heartbeat Beat;
-    Beat.set_node("n" + std::to_string(Member));
-    Beat.set_incarnation(Life);
-    return Beat;
+  static wire::Heartbeat heartbeat(int Member, std::uint64_t Incarnation) {
+    wire::Heartbeat Heartbeat;
+    Heartbeat.set_node("n" + std::to_string(Member));
+    Heartbeat.set_incarnation(Incarnation);
+    return Heartbeat;
   }
 };
 
-TEST(GangTracker, RunsOnceEveryMemberRuns) {
+TEST(GangTracker, ReportsAllRunningOnceWhenEveryMemberRuns) {
   TrackedGang &Gang = gang(2);
-  CHECK_TRUE(GangNews::Nothing == report(Gang, 0, wire::RUNNING));
-  CHECK_TRUE(GangNews::AllRunning == report(Gang, 1, wire::RUNNING));
-  CHECK_TRUE(GangNews::Nothing == report(Gang, 1, wire::RUNNING));
+  CHECK_TRUE(GangTransition::None == report(Gang, 0, wire::RUNNING));
+  CHECK_TRUE(GangTransition::AllRunning == report(Gang, 1, wire::RUNNING));
+  CHECK_TRUE(GangTransition::None == report(Gang, 1, wire::RUNNING));
 }
 
-TEST(GangTracker, TakesSilentMembersForLostSomeLeasesAfterOneHasTold) {
+TEST(GangTracker,
+     MarksUnreachableMembersLostWhenTheGangHasBeenBrokenForTheDelay) {
   TrackedGang &Gang = gang(3);
-  const auto Release = [&](int AfterMs) {
-    return Tracker.releaseSilent(
+  const auto MarkLost = [&](int AfterMs) {
+    return Tracker.markUnreachableMembersLost(
         Gang, Now + Milliseconds(AfterMs), Milliseconds(20000),
         [](const NodeId &Node) { return Node != NodeId("n0"); });
   };
-  CHECK_TRUE(GangNews::Nothing == Release(99000));
-  CHECK_TRUE(GangNews::Broken == report(Gang, 0, wire::LOST));
-  CHECK_TRUE(GangNews::Nothing == Release(20000));
-  CHECK_TRUE(GangNews::Ended == Release(20001));
+  CHECK_TRUE(GangTransition::None == MarkLost(99000));
+  CHECK_TRUE(GangTransition::Broken == report(Gang, 0, wire::LOST));
+  CHECK_TRUE(GangTransition::None == MarkLost(20000));
+  CHECK_TRUE(GangTransition::Ended == MarkLost(20001));
   CHECK_TRUE(GangResult::Lost == Gang.End.Result);
   CHECK_TRUE(Gang.End.MayHaveRun);
 }
 
-TEST(GangTracker, KeepsAMemberThatIsHeardWhenOthersAreSilent) {
+TEST(GangTracker, DoesNotMarkAReachableMemberLostWhenOthersAreUnreachable) {
   TrackedGang &Gang = gang(3);
   report(Gang, 0, wire::FAILED);
   report(Gang, 1, wire::RUNNING);
-  CHECK_TRUE(GangNews::Broken ==
-             Tracker.releaseSilent(
+  CHECK_TRUE(GangTransition::Broken ==
+             Tracker.markUnreachableMembersLost(
                  Gang, Now + Milliseconds(30000), Milliseconds(20000),
                  [](const NodeId &Node) { return Node == NodeId("n2"); }));
   CHECK_TRUE(wire::RUNNING == Gang.Parts[1].phase());
   CHECK_TRUE(wire::LOST == Gang.Parts[2].phase());
 }
 
-TEST(GangTracker, KeepsSilentMembersWhileACheckpointMayBeUnderWay) {
+TEST(GangTracker,
+     DoesNotMarkUnreachableMembersLostWhileACheckpointMayBeInProgress) {
   TrackedGang &Gang = gang(2);
   report(Gang, 0, wire::STOPPED, 500, true);
-  CHECK_TRUE(GangNews::Nothing ==
-             Tracker.releaseSilent(Gang, Now + Milliseconds(99000),
-                                   Milliseconds(20000),
-                                   [](const NodeId &) { return true; }));
+  CHECK_TRUE(GangTransition::None == Tracker.markUnreachableMembersLost(
+                                         Gang, Now + Milliseconds(99000),
+                                         Milliseconds(20000),
+                                         [](const NodeId &) { return true; }));
 }
 
-TEST(GangTracker, SucceedsOnlyWhenEveryMemberHas) {
+TEST(GangTracker, SucceedsOnlyWhenEveryMemberHasSucceeded) {
   TrackedGang &Gang = gang(2);
   report(Gang, 0, wire::SUCCEEDED, 900);
-  CHECK_TRUE(GangNews::Ended == report(Gang, 1, wire::SUCCEEDED, 1000));
+  CHECK_TRUE(GangTransition::Ended == report(Gang, 1, wire::SUCCEEDED, 1000));
   CHECK_TRUE(GangResult::Succeeded == Gang.End.Result);
   LONGS_EQUAL(1000, Gang.End.Progress.count());
 }
 
-TEST(GangTracker, IsBrokenByOneLostMemberAndBlamesAFailedOne) {
+TEST(GangTracker, IsBrokenWhenAMemberFailsAndBlamesItsWorker) {
   TrackedGang &Gang = gang(2);
   report(Gang, 0, wire::RUNNING);
-  CHECK_TRUE(GangNews::Broken == report(Gang, 1, wire::FAILED));
-  CHECK_TRUE(GangNews::Ended == report(Gang, 0, wire::STOPPED));
+  CHECK_TRUE(GangTransition::Broken == report(Gang, 1, wire::FAILED));
+  CHECK_TRUE(GangTransition::Ended == report(Gang, 0, wire::STOPPED));
   CHECK_TRUE(GangResult::Failed == Gang.End.Result);
   STRCMP_EQUAL("n1", Gang.End.Blamed.str().c_str());
 }
 
-TEST(GangTracker, KeepsTheShortestProgressOfAWholeCheckpoint) {
+TEST(GangTracker, KeepsTheShortestProgressWhenEveryMemberHasACheckpoint) {
   TrackedGang &Gang = gang(2);
   report(Gang, 0, wire::STOPPED, 500, true);
-  CHECK_TRUE(GangNews::Ended == report(Gang, 1, wire::STOPPED, 450, true));
+  CHECK_TRUE(GangTransition::Ended ==
+             report(Gang, 1, wire::STOPPED, 450, true));
   LONGS_EQUAL(450, Gang.End.Progress.count());
 }
 
@@ -120,26 +123,29 @@
   CHECK_FALSE(Gang.End.Checkpointed);
 }
 
-TEST(GangTracker, KnowsThatAPartMissingInTheSameLifeNeverRan) {
+TEST(GangTracker, HasNotRunWhenAPartIsMissingInTheSameIncarnation) {
   TrackedGang &Gang = gang(1);
-  CHECK_TRUE(GangNews::Ended == Tracker.observe(Gang, beat(0, 7), Now));
+  CHECK_TRUE(GangTransition::Ended ==
+             Tracker.handleReport(Gang, heartbeat(0, 7), Now));
   CHECK_FALSE(Gang.End.MayHaveRun);
 }
 
-TEST(GangTracker, CannotTellOfAPartMissingInAnotherLife) {
+TEST(GangTracker, MayHaveRunWhenAPartIsMissingInAnotherIncarnation) {
   TrackedGang &Gang = gang(1);
-  CHECK_TRUE(GangNews::Ended == Tracker.observe(Gang, beat(0, 8), Now));
+  CHECK_TRUE(GangTransition::Ended ==
+             Tracker.handleReport(Gang, heartbeat(0, 8), Now));
   CHECK_TRUE(Gang.End.MayHaveRun);
 }
 
-TEST(GangTracker, WaitsForReportsThatWereMadeBeforeTheStart) {
+TEST(GangTracker, IgnoresAMissingPartInReportsMadeBeforeTheStart) {
   TrackedGang &Gang = gang(1);
-  Gang.SettledAt = Now + Milliseconds(1);
-  CHECK_TRUE(GangNews::Nothing == Tracker.observe(Gang, beat(0, 7), Now));
+  Gang.AbsenceCountsFrom = Now + Milliseconds(1);
+  CHECK_TRUE(GangTransition::None ==
+             Tracker.handleReport(Gang, heartbeat(0, 7), Now));
 }
 
-TEST(GangTracker, NamesPartsOfNoKnownGang) {
-  wire::Heartbeat Beat = beat(0, 7);
-  Beat.mutable_worker()->add_parts()->set_job("stray");
-  LONGS_EQUAL(1, Tracker.strays(Beat).size());
+TEST(GangTracker, ReturnsPartsOfUnknownGangsAsStray) {
+  wire::Heartbeat Heartbeat = heartbeat(0, 7);
+  Heartbeat.mutable_worker()->add_parts()->set_job("stray");
+  LONGS_EQUAL(1, Tracker.strayParts(Heartbeat).size());
 }
