--- a/src/coordinator/WorkerLossDetector.cpp
+++ b/src/coordinator/WorkerLossDetector.cpp
@@ -25,9 +25,9 @@
 }
 
 bool WorkerLossDetector::isLost(const std::string &Worker,
-                                Instant LastHeartbeatAt, Instant Now) const {
+                                Instant WorkerHeartbeatAt, Instant Now) const {
   if (Now - ResetAt < Timeouts.WorkerTimeout ||
-      Now - LastHeartbeatAt < Timeouts.WorkerTimeout)
+      Now - WorkerHeartbeatAt < Timeouts.WorkerTimeout)
     return false;
   for (const auto &[Node, Entry] : Entries) {
     if (Now - Entry.LastHeartbeatAt > Timeouts.EntryTimeout)
--- a/src/coordinator/WorkerLossDetector.h
+++ b/src/coordinator/WorkerLossDetector.h
@@ -43,9 +43,9 @@
   /// Records the heartbeat of an entry. An entry that is leaving is removed.
   void entryHeartbeat(const wire::Heartbeat &Heartbeat, Instant Now);
 
-  /// Returns whether \p Worker has certainly stopped all its tasks. \p
-  /// LastHeartbeatAt is when this process last received its heartbeat.
-  bool isLost(const std::string &Worker, Instant LastHeartbeatAt,
+  /// Returns whether \p Worker has certainly stopped all its tasks.
+  /// \p WorkerHeartbeatAt is when this process last received its heartbeat.
+  bool isLost(const std::string &Worker, Instant WorkerHeartbeatAt,
               Instant Now) const;
 
   /// Returns the entries that have been unreachable for so long that no worker
--- a/src/membership/Announcer.cpp
+++ b/src/membership/Announcer.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-constexpr Milliseconds LeastPatience{1000};
-/// A learned entry that has not answered for this long is given up.
-constexpr Milliseconds GiveUpAfter{30000};
-constexpr std::size_t MaxLines = 16;
+constexpr Milliseconds MinReplyTimeout{1000};
+/// A discovered entry that has not replied for this long is dropped.
+constexpr Milliseconds DropAfter{30000};
+constexpr std::size_t MaxReceivers = 16;
 
 } // namespace
 
-Announcer::Announcer(RpcPeers &Peers, ConfigurationKeeper &Keeper,
-                     Milliseconds Period, BeatSource Source,
-                     ReplyListener Listener)
-    : Peers(Peers), Keeper(Keeper), Period(Period), Source(std::move(Source)),
-      Listener(std::move(Listener)) {}
+Announcer::Announcer(RpcPeers &Peers, ConfigurationKeeper &Configurations,
+                     Milliseconds Period, HeartbeatSource BuildHeartbeat,
+                     ReplyListener OnReply)
+    : Peers(Peers), Configurations(Configurations), Period(Period),
+      BuildHeartbeat(std::move(BuildHeartbeat)), OnReply(std::move(OnReply)) {}
 
 Announcer::~Announcer() { stop(); }
 
@@ -27,40 +27,42 @@
   const std::lock_guard<std::mutex> Lock(Mutex);
   if (Stopping)
     return;
-  for (auto It = Lines.begin(); It != Lines.end();) {
+  for (auto It = Receivers.begin(); It != Receivers.end();) {
     if (!It->second->Ended) {
       ++It;
       continue;
     }
     It->second->Thread.join();
-    It = Lines.erase(It);
+    It = Receivers.erase(It);
   }
-  if (Lines.count(Address) != 0 || Lines.size() >= MaxLines)
+  if (Receivers.count(Address) != 0 || Receivers.size() >= MaxReceivers)
     return;
-  auto Fresh = std::make_unique<Line>();
-  Fresh->Address = Address;
-  Fresh->AnsweredAt = monotonicNow();
-  Fresh->Seed = Seed;
-  Line &Mine = *Fresh;
-  Lines[Address] = std::move(Fresh);
-  Mine.Thread = std::thread([this, &Mine] { run(Mine); });
+  auto Added = std::make_unique<Receiver>();
+  Added->Address = Address;
+  Added->LastReplyAt = monotonicNow();
+  Added->Seed = Seed;
+  Receiver &To = *Added;
+  Receivers[Address] = std::move(Added);
+  To.Thread = std::thread([this, &To] { run(To); });
 }
 
 void Announcer::nudge() {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  ++Nudges;
+  ++ImmediateRequests;
   Wake.notify_all();
 }
 
-bool Announcer::tellAll(Milliseconds Patience) {
+bool Announcer::tellAll(Milliseconds Timeout) {
   std::unique_lock<std::mutex> Lock(Mutex);
-  const std::uint64_t Wanted = ++Nudges;
+  const std::uint64_t Requested = ++ImmediateRequests;
   Wake.notify_all();
-  return Answered.wait_for(Lock, Patience, [&] {
-    return std::all_of(Lines.begin(), Lines.end(), [&](const auto &Each) {
-      const Line &Of = *Each.second;
-      return Of.Ended || !Of.Answers || Of.Told >= Wanted;
-    });
+  return ReplyReceived.wait_for(Lock, Timeout, [&] {
+    return std::all_of(Receivers.begin(), Receivers.end(),
+                       [&](const auto &Pair) {
+                         const Receiver &Each = *Pair.second;
+                         return Each.Ended || !Each.Responding ||
+                                Each.AcknowledgedRequest >= Requested;
+                       });
   });
 }
 
@@ -70,8 +72,9 @@
     Stopping = true;
     Wake.notify_all();
   }
-  // No line is added once Stopping is set, so the map may be walked unlocked.
-  for (auto &[Address, Each] : Lines)
+  // add() inserts nothing once Stopping is set, so that the map can be iterated
+  // without the lock.
+  for (auto &[Address, Each] : Receivers)
     if (Each->Thread.joinable())
       Each->Thread.join();
 }
@@ -80,63 +83,64 @@
   const std::lock_guard<std::mutex> Lock(Mutex);
   const Instant Now = monotonicNow();
   std::vector<std::string> Result;
-  for (const auto &[Address, Each] : Lines)
-    if (!Each->Ended && Each->Answers &&
-        Now - Each->AnsweredAt < 2 * Period + LeastPatience)
+  for (const auto &[Address, Each] : Receivers)
+    if (!Each->Ended && Each->Responding &&
+        Now - Each->LastReplyAt < 2 * Period + MinReplyTimeout)
       Result.push_back(Address);
   return Result;
 }
 
-bool Announcer::beatOnce(Line &Mine, std::uint64_t NudgesSeen) {
+bool Announcer::sendOnce(Receiver &To, std::uint64_t RequestsSeen) {
   const Instant SentAt = monotonicNow();
-  const auto Reply =
-      Peers.beat(Mine.Address, Source(), std::max(LeastPatience, 2 * Period));
+  const auto Reply = Peers.beat(To.Address, BuildHeartbeat(),
+                                std::max(MinReplyTimeout, 2 * Period));
   if (!Reply) {
-    // The connection may be silent for good; the next beat opens another.
-    Peers.forget(Mine.Address);
+    // The connection may never recover; the next heartbeat opens a new one.
+    Peers.forget(To.Address);
     const std::lock_guard<std::mutex> Lock(Mutex);
-    Mine.Answers = false;
-    Answered.notify_all();
+    To.Responding = false;
+    ReplyReceived.notify_all();
     return false;
   }
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    Mine.AnsweredAt = monotonicNow();
-    Mine.Answers = true;
-    Mine.Told = NudgesSeen;
-    Answered.notify_all();
+    To.LastReplyAt = monotonicNow();
+    To.Responding = true;
+    To.AcknowledgedRequest = RequestsSeen;
+    ReplyReceived.notify_all();
   }
-  learn(*Reply, SentAt);
+  handleReply(*Reply, SentAt);
   return true;
 }
 
-void Announcer::learn(const wire::HeartbeatReply &Reply, Instant SentAt) {
+void Announcer::handleReply(const wire::HeartbeatReply &Reply, Instant SentAt) {
   if (Reply.has_configuration())
-    Keeper.offer(Reply.configuration());
-  Listener(Reply, SentAt);
+    Configurations.offer(Reply.configuration());
+  OnReply(Reply, SentAt);
   for (const auto &Entry : Reply.entries())
     add(Entry.rpc_address(), false);
 }
 
-void Announcer::run(Line &Mine) {
-  std::uint64_t Seen = 0;
-  bool Last = false;
-  while (!Last) {
+void Announcer::run(Receiver &To) {
+  std::uint64_t RequestsSeen = 0;
+  bool Final = false;
+  while (!Final) {
     {
       const std::lock_guard<std::mutex> Lock(Mutex);
-      Seen = Nudges;
-      Last = Stopping;
+      RequestsSeen = ImmediateRequests;
+      Final = Stopping;
     }
-    const bool WasAnswered = beatOnce(Mine, Seen);
+    const bool GotReply = sendOnce(To, RequestsSeen);
     std::unique_lock<std::mutex> Lock(Mutex);
-    if (!WasAnswered && !Mine.Seed &&
-        monotonicNow() - Mine.AnsweredAt > GiveUpAfter)
+    if (!GotReply && !To.Seed && monotonicNow() - To.LastReplyAt > DropAfter)
       break;
-    if (!Last)
-      Wake.wait_for(Lock, Period, [&] { return Stopping || Nudges != Seen; });
+    if (!Final)
+      Wake.wait_for(Lock, Period, [&] {
+        return Stopping || ImmediateRequests != RequestsSeen;
+      });
   }
   const std::lock_guard<std::mutex> Lock(Mutex);
-  Mine.Ended = true;
+  To.Ended = true;
 }
 
 } // namespace baobabcove
--- a/src/membership/Announcer.h
+++ b/src/membership/Announcer.h
@@ -1,6 +1,3 @@
-/// \file
-/// Sends this process's heartbeats to the entries.
-
 #ifndef BAOBABCOVE_MEMBERSHIP_ANNOUNCER_H
 #define BAOBABCOVE_MEMBERSHIP_ANNOUNCER_H
 
@@ -20,67 +17,73 @@
 
 namespace baobabcove {
 
-/// Builds the heartbeat of this moment.
-using BeatSource = std::function<wire::Heartbeat()>;
-/// Hears each reply, and when the heartbeat it answers was sent.
+/// Returns a heartbeat with the current state of the process.
+using HeartbeatSource = std::function<wire::Heartbeat()>;
+/// Called with each reply and the time at which its heartbeat was sent.
 using ReplyListener =
     std::function<void(const wire::HeartbeatReply &, Instant SentAt)>;
 
-/// One thread for each known entry sends a heartbeat a period, and at once
-/// after a nudge. Entries are learned from replies, so that the first
-/// addresses are needed only to begin with. A connection without an answer is
+/// Sends this process's heartbeats to the entries. One thread for each known
+/// entry sends a heartbeat every period, and immediately on request. Further
+/// entries are discovered from the replies, so that the first addresses are
+/// needed only at the start. A connection on which a heartbeat got no reply is
 /// replaced.
 class Announcer {
 public:
-  Announcer(RpcPeers &Peers, ConfigurationKeeper &Keeper, Milliseconds Period,
-            BeatSource Source, ReplyListener Listener);
+  Announcer(RpcPeers &Peers, ConfigurationKeeper &Configurations,
+            Milliseconds Period, HeartbeatSource BuildHeartbeat,
+            ReplyListener OnReply);
   ~Announcer();
 
-  /// Begins to announce to \p Address. A seed is never given up, another
-  /// entry is when it has not answered for long.
+  /// Starts sending heartbeats to the entry at \p Address, up to a fixed number
+  /// of entries. A seed is never given up; any other entry is dropped after it
+  /// has not replied for a while.
   void add(const std::string &Address, bool Seed);
 
-  /// Sends the next heartbeats now.
+  /// Sends the next heartbeat to every entry now. Does not wait.
   void nudge();
 
-  /// Sends heartbeats now and waits until every entry that answers has heard
-  /// one built since. Returns false when \p Patience ran out before.
-  bool tellAll(Milliseconds Patience);
+  /// Sends heartbeats now and waits until every responding entry has replied to
+  /// one that was built after this call. Returns false if \p Timeout expires
+  /// first.
+  bool tellAll(Milliseconds Timeout);
 
-  /// Sends a last heartbeat to every entry and stops.
+  /// Sends a final heartbeat to every entry and joins the threads.
   void stop();
 
-  /// Addresses of entries that answered lately.
+  /// Returns the addresses of the entries that have replied recently.
   std::vector<std::string> answering() const;
 
 private:
-  /// The line to one entry.
-  struct Line {
+  /// An entry that receives heartbeats, and the thread that sends them.
+  struct Receiver {
     std::string Address;
-    Instant AnsweredAt;
-    /// Nudges that had been given when the last answered heartbeat was built.
-    std::uint64_t Told = 0;
+    Instant LastReplyAt;
+    /// Value of ImmediateRequests when the last heartbeat that got a reply was
+    /// built.
+    std::uint64_t AcknowledgedRequest = 0;
     std::thread Thread;
     bool Seed = false;
-    /// Whether the last heartbeat was answered.
-    bool Answers = false;
+    /// Whether the last heartbeat got a reply.
+    bool Responding = false;
     bool Ended = false;
   };
 
-  void run(Line &Mine);
-  bool beatOnce(Line &Mine, std::uint64_t NudgesSeen);
-  void learn(const wire::HeartbeatReply &Reply, Instant SentAt);
+  void run(Receiver &To);
+  bool sendOnce(Receiver &To, std::uint64_t RequestsSeen);
+  void handleReply(const wire::HeartbeatReply &Reply, Instant SentAt);
 
   RpcPeers &Peers;
-  ConfigurationKeeper &Keeper;
+  ConfigurationKeeper &Configurations;
   const Milliseconds Period;
-  const BeatSource Source;
-  const ReplyListener Listener;
+  const HeartbeatSource BuildHeartbeat;
+  const ReplyListener OnReply;
   mutable std::mutex Mutex;
   std::condition_variable Wake;
-  std::condition_variable Answered;
-  std::map<std::string, std::unique_ptr<Line>> Lines;
-  std::uint64_t Nudges = 0;
+  std::condition_variable ReplyReceived;
+  std::map<std::string, std::unique_ptr<Receiver>> Receivers;
+  /// Number of requests for an immediate heartbeat so far.
+  std::uint64_t ImmediateRequests = 0;
   bool Stopping = false;
 };
 
--- a/src/membership/Members.cpp
+++ b/src/membership/Members.cpp
@@ -2,22 +2,22 @@
 
 namespace baobabcove {
 
-bool Members::hear(const wire::Heartbeat &Beat, Instant Now) {
+bool Members::hear(const wire::Heartbeat &Heartbeat, Instant Now) {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  MemberRecord &Known = Table[Beat.node()];
-  if (Beat.incarnation() < Known.Beat.incarnation())
+  MemberRecord &Known = Table[Heartbeat.node()];
+  if (Heartbeat.incarnation() < Known.Beat.incarnation())
     return false;
-  Known.Beat = Beat;
+  Known.Beat = Heartbeat;
   Known.HeardAt = Now;
   return true;
 }
 
 std::vector<MemberRecord>
-Members::alive(wire::NodeKind Kind, Milliseconds Silence, Instant Now) const {
+Members::alive(wire::NodeKind Kind, Milliseconds Timeout, Instant Now) const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   std::vector<MemberRecord> Result;
   for (const auto &[Name, Known] : Table)
-    if (Known.Beat.kind() == Kind && Now - Known.HeardAt <= Silence)
+    if (Known.Beat.kind() == Kind && Now - Known.HeardAt <= Timeout)
       Result.push_back(Known);
   return Result;
 }
@@ -44,10 +44,10 @@
   Table.erase(Node.str());
 }
 
-void Members::forgetSilent(Milliseconds Silence, Instant Now) {
+void Members::forgetSilent(Milliseconds Timeout, Instant Now) {
   const std::lock_guard<std::mutex> Lock(Mutex);
   for (auto It = Table.begin(); It != Table.end();) {
-    if (Now - It->second.HeardAt > Silence)
+    if (Now - It->second.HeardAt > Timeout)
       It = Table.erase(It);
     else
       ++It;
--- a/src/membership/Members.h
+++ b/src/membership/Members.h
@@ -1,6 +1,3 @@
-/// \file
-/// Who has announced itself, as this process has heard.
-
 #ifndef BAOBABCOVE_MEMBERSHIP_MEMBERS_H
 #define BAOBABCOVE_MEMBERSHIP_MEMBERS_H
 
@@ -15,34 +12,37 @@
 
 namespace baobabcove {
 
-/// A member and when it was last heard.
+/// The last heartbeat of a member.
 struct MemberRecord {
   wire::Heartbeat Beat;
+  /// When this process received the heartbeat.
   Instant HeardAt;
 };
 
-/// The table of members. An announcement of an older incarnation than the one
-/// known is refused, so that a late message of an earlier life does no harm.
-/// Thread-safe.
+/// The members whose heartbeats this process has received. A heartbeat of an
+/// older incarnation than the known one is refused, so that a delayed message
+/// of an earlier incarnation has no effect. Thread-safe.
 class Members {
 public:
-  /// Takes an announcement. Returns false when it is of an older incarnation.
-  bool hear(const wire::Heartbeat &Beat, Instant Now);
+  /// Stores a heartbeat. Returns false if it is of an older incarnation.
+  bool hear(const wire::Heartbeat &Heartbeat, Instant Now);
 
-  /// Members of one kind heard within \p Silence before \p Now.
-  std::vector<MemberRecord> alive(wire::NodeKind Kind, Milliseconds Silence,
+  /// Returns the members of one kind whose last heartbeat is at most \p Timeout
+  /// old at \p Now.
+  std::vector<MemberRecord> alive(wire::NodeKind Kind, Milliseconds Timeout,
                                   Instant Now) const;
 
-  /// One member, however long it has been silent.
+  /// Finds a member, however old its last heartbeat is. Returns false if there
+  /// is none.
   bool find(const NodeId &Node, MemberRecord &Record) const;
 
   std::vector<MemberRecord> all() const;
 
-  /// Drops a member that has taken leave.
+  /// Removes a member that has left.
   void remove(const NodeId &Node);
 
-  /// Drops members silent for longer than \p Silence.
-  void forgetSilent(Milliseconds Silence, Instant Now);
+  /// Removes the members whose last heartbeat is older than \p Timeout.
+  void forgetSilent(Milliseconds Timeout, Instant Now);
 
 private:
   mutable std::mutex Mutex;
--- a/src/store/HttpStore.cpp
+++ b/src/store/HttpStore.cpp
@@ -10,29 +10,29 @@
 
 namespace {
 
-constexpr Milliseconds CallPatience{1500};
-/// A watch that brings neither an event nor a progress notice for this long is
-/// held for silent and opened anew.
-constexpr Milliseconds WatchSilence{4000};
-/// Calls that fail in a row before the store is held for down.
-constexpr int FailuresToOpen = 2;
-constexpr std::int64_t ListLimit = 500;
-
-/// The first key after all keys that start with \p Prefix.
-std::string endOfPrefix(std::string Prefix) {
+constexpr Milliseconds CallTimeout{1500};
+/// A watch without an event or a progress notice for this long counts as failed
+/// and is opened again.
+constexpr Milliseconds WatchTimeout{4000};
+/// Consecutive failed calls after which the store counts as unavailable.
+constexpr int FailuresUntilUnavailable = 2;
+constexpr std::int64_t ListPageSize = 500;
+
+/// Returns the first key after all keys that start with \p Prefix.
+std::string prefixRangeEnd(std::string Prefix) {
   ++Prefix.back();
   return Prefix;
 }
 
-StoreEntry toEntry(const platform::KeyValue &From) {
-  return {From.key(), From.value(), From.mod_revision()};
+StoreEntry toEntry(const platform::KeyValue &Pair) {
+  return {Pair.key(), Pair.value(), Pair.mod_revision()};
 }
 
-Error asReadError(const Error &Fault) {
+Error toReadError(const Error &Fault) {
   return {ResultCode::StoreUnavailable, Fault.Detail};
 }
 
-Error asWriteError(const Error &Fault) {
+Error toWriteError(const Error &Fault) {
   if (Fault.Code == ResultCode::PeerUnreachable)
     return {ResultCode::StoreUnavailable, Fault.Detail};
   return {ResultCode::StoreAnswerLost, Fault.Detail};
@@ -47,7 +47,7 @@
     Request.set_key(Key);
     platform::RangeResponse Reply;
     if (auto Done = call("/v3/kv/range", Request, Reply); !Done)
-      return tl::unexpected<Error>(asReadError(Done.error()));
+      return tl::unexpected<Error>(toReadError(Done.error()));
     if (Reply.kvs().empty())
       return StoreEntry{Key, "", 0};
     return toEntry(Reply.kvs(0));
@@ -57,13 +57,14 @@
     StoreSnapshot Snapshot;
     platform::RangeRequest Request;
     Request.set_key(Prefix);
-    Request.set_range_end(endOfPrefix(Prefix));
-    Request.set_limit(ListLimit);
+    Request.set_range_end(prefixRangeEnd(Prefix));
+    Request.set_limit(ListPageSize);
     for (;;) {
       platform::RangeResponse Reply;
       if (auto Done = call("/v3/kv/range", Request, Reply); !Done)
-        return tl::unexpected<Error>(asReadError(Done.error()));
-      // The first page's revision: changes between pages are watched again.
+        return tl::unexpected<Error>(toReadError(Done.error()));
+      // The revision of the first page, so that a watch from there also returns
+      // the changes made between the pages.
       if (Snapshot.Revision == 0)
         Snapshot.Revision = Reply.header().revision();
       for (const auto &Pair : Reply.kvs())
@@ -77,19 +78,19 @@
   Expected<std::int64_t> swap(const std::string &Key, std::int64_t Revision,
                               const std::string &Value,
                               std::int64_t Lease) override {
-    platform::TxnRequest Request = comparing(Key, Revision);
+    platform::TxnRequest Request = requireRevision(Key, Revision);
     auto *Put = Request.add_success()->mutable_request_put();
     Put->set_key(Key);
     Put->set_value(Value);
     Put->set_lease(Lease);
-    return transact(Key, Request);
+    return runTransaction(Key, Request);
   }
 
   Expected<void> remove(const std::string &Key,
                         std::int64_t Revision) override {
-    platform::TxnRequest Request = comparing(Key, Revision);
+    platform::TxnRequest Request = requireRevision(Key, Revision);
     Request.add_success()->mutable_request_delete_range()->set_key(Key);
-    return transact(Key, Request).map([](std::int64_t) {});
+    return runTransaction(Key, Request).map([](std::int64_t) {});
   }
 
   Expected<std::int64_t> grantLease(std::chrono::seconds Ttl) override {
@@ -97,7 +98,7 @@
     Request.set_ttl(Ttl.count());
     platform::LeaseGrantResponse Reply;
     if (auto Done = write("/v3/lease/grant", Request, Reply); !Done)
-      return tl::unexpected<Error>(asWriteError(Done.error()));
+      return tl::unexpected<Error>(toWriteError(Done.error()));
     return Reply.id();
   }
 
@@ -106,9 +107,9 @@
     Request.set_id(Lease);
     platform::LeaseKeepAliveResponse Reply;
     if (auto Done = call("/v3/lease/keepalive", Request, Reply); !Done)
-      return tl::unexpected<Error>(asReadError(Done.error()));
+      return tl::unexpected<Error>(toReadError(Done.error()));
     if (Reply.result().ttl() <= 0)
-      return failure(ResultCode::CompareFailed, "The lease has lapsed.");
+      return failure(ResultCode::CompareFailed, "The lease has expired.");
     return {};
   }
 
@@ -117,55 +118,57 @@
     Request.set_id(Lease);
     platform::TxnResponse Reply;
     if (auto Done = write("/v3/lease/revoke", Request, Reply); !Done)
-      return tl::unexpected<Error>(asWriteError(Done.error()));
+      return tl::unexpected<Error>(toWriteError(Done.error()));
     return {};
   }
 
   Expected<void> watch(const std::string &Prefix, std::int64_t Revision,
-                       const StoreWatcher &Watcher,
+                       const StoreWatchCallback &OnChange,
                        const std::atomic<bool> &Stop) override {
     platform::WatchRequest Request;
     auto *Create = Request.mutable_create_request();
     Create->set_key(Prefix);
-    Create->set_range_end(endOfPrefix(Prefix));
+    Create->set_range_end(prefixRangeEnd(Prefix));
     Create->set_start_revision(Revision + 1);
     Create->set_progress_notify(true);
     try {
       Poco::Net::HTTPClientSession Session(
           Poco::Net::SocketAddress(Client.address()));
-      Session.setTimeout(Poco::Timespan(WatchSilence.count() * 1000));
-      return readEvents(Session, toJson(Request), Watcher, Stop);
+      Session.setTimeout(Poco::Timespan(WatchTimeout.count() * 1000));
+      return readEvents(Session, toJson(Request), OnChange, Stop);
     } catch (const Poco::Exception &Fault) {
       return failure(ResultCode::StoreUnavailable,
-                     "The watch broke: " + Fault.displayText());
+                     "The store watch failed: " + Fault.displayText());
     }
   }
 
 private:
-  /// Writes are refused unsent while the store is known to be down, so that
-  /// their callers hear "not run" at once; reads go on and find it up again.
+  /// Fails writes without sending them while the store is unavailable, so that
+  /// their callers get "not run" immediately. Reads are still sent and detect
+  /// when the store is available again.
   Expected<void> write(const std::string &Path,
                        const google::protobuf::Message &Request,
                        google::protobuf::Message &Reply) {
-    if (FailuresInRow >= FailuresToOpen)
-      return failure(ResultCode::PeerUnreachable,
-                     "The store has not answered lately.");
+    if (ConsecutiveFailures >= FailuresUntilUnavailable)
+      return failure(
+          ResultCode::PeerUnreachable,
+          "The store did not answer the last calls; nothing was sent.");
     return call(Path, Request, Reply);
   }
 
   Expected<void> call(const std::string &Path,
                       const google::protobuf::Message &Request,
                       google::protobuf::Message &Reply) {
-    auto Done = Client.callJson(Path, Request, Reply, CallPatience);
+    auto Done = Client.callJson(Path, Request, Reply, CallTimeout);
     if (Done)
-      FailuresInRow = 0;
+      ConsecutiveFailures = 0;
     else
-      ++FailuresInRow;
+      ++ConsecutiveFailures;
     return Done;
   }
 
-  static platform::TxnRequest comparing(const std::string &Key,
-                                        std::int64_t Revision) {
+  static platform::TxnRequest requireRevision(const std::string &Key,
+                                              std::int64_t Revision) {
     platform::TxnRequest Request;
     auto *Compare = Request.add_compare();
     Compare->set_result("EQUAL");
@@ -175,11 +178,11 @@
     return Request;
   }
 
-  Expected<std::int64_t> transact(const std::string &Key,
-                                  const platform::TxnRequest &Request) {
+  Expected<std::int64_t> runTransaction(const std::string &Key,
+                                        const platform::TxnRequest &Request) {
     platform::TxnResponse Reply;
     if (auto Done = write("/v3/kv/txn", Request, Reply); !Done)
-      return tl::unexpected<Error>(asWriteError(Done.error()));
+      return tl::unexpected<Error>(toWriteError(Done.error()));
     if (!Reply.succeeded())
       return failure(ResultCode::CompareFailed,
                      "The key " + Key + " has changed in the store.");
@@ -188,7 +191,7 @@
 
   static Expected<void> readEvents(Poco::Net::HTTPClientSession &Session,
                                    const std::string &Body,
-                                   const StoreWatcher &Watcher,
+                                   const StoreWatchCallback &OnChange,
                                    const std::atomic<bool> &Stop) {
     Poco::Net::HTTPRequest Request("POST", "/v3/watch",
                                    Poco::Net::HTTPRequest::HTTP_1_1);
@@ -205,14 +208,14 @@
         StoreEntry Entry = toEntry(Event.kv());
         if (Event.type() == "DELETE")
           Entry.Revision = 0;
-        Watcher(Entry);
+        OnChange(Entry);
       }
     }
-    return failure(ResultCode::StoreUnavailable, "The watch has ended.");
+    return failure(ResultCode::StoreUnavailable, "The store watch has ended.");
   }
 
   HttpClient Client;
-  std::atomic<int> FailuresInRow{0};
+  std::atomic<int> ConsecutiveFailures{0};
 };
 
 } // namespace
--- a/src/store/StoreHealth.cpp
+++ b/src/store/StoreHealth.cpp
@@ -7,45 +7,47 @@
 
 namespace {
 
-/// A single answer may be lost by itself.
-constexpr int FailuresInRow = 2;
-/// The watches fail at least this often while the store is away; without news
-/// for longer the store is tried again.
-constexpr Milliseconds NewsPeriod{2500};
-/// Outages of the users' store last 4 to 9 seconds; a longer wait would leave
-/// callers out after its return.
-constexpr double LongestWaitSeconds = 4;
+/// A single failure may be one lost reply rather than an outage.
+constexpr int FailuresUntilUnavailable = 2;
+/// The watches fail at least this often while the store is unavailable. After a
+/// longer time without a failure the store is tried again.
+constexpr Milliseconds FailureReportPeriod{2500};
+/// Outages of the users' store last 4 to 9 seconds; a longer wait would keep
+/// callers away after the store is available again.
+constexpr double MaxRetryAfterSeconds = 4;
 
 } // namespace
 
 void StoreHealth::noteAnswer(BootInstant) {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  Failures = 0;
+  ConsecutiveFailures = 0;
 }
 
 void StoreHealth::noteFailure(BootInstant Now) {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  if (Failures == 0)
-    FirstFailure = Now;
-  ++Failures;
-  LastFailure = Now;
+  if (ConsecutiveFailures == 0)
+    FirstFailureAt = Now;
+  ++ConsecutiveFailures;
+  LastFailureAt = Now;
 }
 
 bool StoreHealth::isAway(BootInstant Now) const {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  return Failures >= FailuresInRow && Now - LastFailure < NewsPeriod;
+  return ConsecutiveFailures >= FailuresUntilUnavailable &&
+         Now - LastFailureAt < FailureReportPeriod;
 }
 
 Milliseconds StoreHealth::awayFor(BootInstant Now) const {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  return Failures == 0 ? Milliseconds(0) : Milliseconds(Now - FirstFailure);
+  return ConsecutiveFailures == 0 ? Milliseconds(0)
+                                  : Milliseconds(Now - FirstFailureAt);
 }
 
-std::chrono::seconds retryAfter(Milliseconds Away, double Spread) {
-  const double Expected =
-      std::clamp(double(Away.count()) / 1000, 1.0, LongestWaitSeconds);
+std::chrono::seconds retryAfter(Milliseconds Outage, double Jitter) {
+  const double Seconds =
+      std::clamp(double(Outage.count()) / 1000, 1.0, MaxRetryAfterSeconds);
   return std::chrono::seconds(
-      static_cast<std::int64_t>(std::floor(Expected + Spread)));
+      static_cast<std::int64_t>(std::floor(Seconds + Jitter)));
 }
 
 } // namespace baobabcove
--- a/src/store/StoreHealth.h
+++ b/src/store/StoreHealth.h
@@ -1,6 +1,3 @@
-/// \file
-/// Whether the store answers, by all calls that a process makes.
-
 #ifndef BAOBABCOVE_STORE_STOREHEALTH_H
 #define BAOBABCOVE_STORE_STOREHEALTH_H
 
@@ -10,30 +7,33 @@
 
 namespace baobabcove {
 
-/// Thread-safe.
+/// Tracks whether the store is available, by the results of all calls that a
+/// process makes to it. Thread-safe.
 class StoreHealth {
 public:
   void noteAnswer(BootInstant Now);
   void noteFailure(BootInstant Now);
 
-  /// True after several failures in a row, until a call is answered or for so
-  /// long that it is worth another try.
+  /// Returns true after several consecutive failures, until a call is answered
+  /// or the last failure is so old that the store is to be tried again.
   bool isAway(BootInstant Now) const;
 
-  /// Time since the first failure of the present row; zero without one.
+  /// Returns the time since the first of the current consecutive failures, or
+  /// zero if the last call was answered.
   Milliseconds awayFor(BootInstant Now) const;
 
 private:
   mutable std::mutex Mutex;
-  int Failures = 0;
-  BootInstant FirstFailure{};
-  BootInstant LastFailure{};
+  int ConsecutiveFailures = 0;
+  BootInstant FirstFailureAt{};
+  BootInstant LastFailureAt{};
 };
 
-/// When a caller should come back whose call found the store away for \p Away:
-/// an outage is expected to last as long again as it has lasted. \p Spread, of
-/// zero to one, keeps callers from coming back together.
-std::chrono::seconds retryAfter(Milliseconds Away, double Spread);
+/// Returns how long a caller should wait before it retries when the store has
+/// been unavailable for \p Outage: an outage is expected to last as long again
+/// as it has lasted so far. \p Jitter, from zero to one, spreads the retries of
+/// different callers.
+std::chrono::seconds retryAfter(Milliseconds Outage, double Jitter);
 
 } // namespace baobabcove
 
--- a/tests/store/StoreHealthTest.cpp
+++ b/tests/store/StoreHealthTest.cpp
@@ -12,12 +12,12 @@
 
 TEST_GROUP(StoreHealth) { StoreHealth Health; };
 
-TEST(StoreHealth, TakesOneLostAnswerForAnAccident) {
+TEST(StoreHealth, IsAvailableAfterASingleFailure) {
   Health.noteFailure(at(1000));
   CHECK_FALSE(Health.isAway(at(1001)));
 }
 
-TEST(StoreHealth, IsAwayAfterFailuresInARowUntilAnAnswer) {
+TEST(StoreHealth, IsUnavailableAfterConsecutiveFailuresUntilAnAnswer) {
   Health.noteFailure(at(1000));
   Health.noteFailure(at(1200));
   CHECK_TRUE(Health.isAway(at(1300)));
@@ -27,20 +27,20 @@
   LONGS_EQUAL(0, Health.awayFor(at(1401)).count());
 }
 
-TEST(StoreHealth, IsTriedAgainWhenThereIsNoNews) {
+TEST(StoreHealth, IsAvailableAgainWhenTheLastFailureIsOld) {
   Health.noteFailure(at(1000));
   Health.noteFailure(at(1200));
   CHECK_FALSE(Health.isAway(at(5000)));
 }
 
-TEST(StoreHealth, ExpectsAnOutageToLastAsLongAgain) {
+TEST(StoreHealth, RetriesAfterTheLengthOfTheOutageUpToALimit) {
   LONGS_EQUAL(1, retryAfter(Milliseconds(0), 0).count());
   LONGS_EQUAL(1, retryAfter(Milliseconds(1900), 0).count());
   LONGS_EQUAL(3, retryAfter(Milliseconds(3100), 0).count());
   LONGS_EQUAL(4, retryAfter(Milliseconds(60000), 0).count());
 }
 
-TEST(StoreHealth, SpreadsTheReturnOfCallers) {
+TEST(StoreHealth, AddsJitterToRetryAfter) {
   LONGS_EQUAL(2, retryAfter(Milliseconds(1500), 0.9).count());
   LONGS_EQUAL(1, retryAfter(Milliseconds(1500), 0.4).count());
 }
