--- a/src/agent/AgentProcess.cpp
+++ b/src/agent/AgentProcess.cpp
@@ -10,13 +10,14 @@
 
 constexpr std::size_t AdminThreads = 4;
 constexpr std::size_t AdminConnections = 64;
-constexpr Milliseconds FindPeriod{200};
-/// Time without an answer of any entry after which the store is asked.
-constexpr Milliseconds FindAfter{2000};
-/// Longest wait for the entries to hear that this agent drains.
-constexpr Milliseconds TellPatience{3000};
-/// Time in which a request that was sent before still arrives.
-constexpr Milliseconds InTransit{200};
+constexpr Milliseconds DiscoveryPeriod{200};
+/// The store is queried for entry addresses after this long without a
+/// heartbeat reply from any entry.
+constexpr Milliseconds DiscoveryDelay{2000};
+/// Maximum wait until the entries have received the draining state.
+constexpr Milliseconds DrainNoticeTimeout{3000};
+/// Time allowed for requests that were already sent to arrive.
+constexpr Milliseconds InTransitGrace{200};
 
 HttpLimits adminLimits() {
   HttpLimits Limits;
@@ -25,94 +26,97 @@
   return Limits;
 }
 
-wire::CommandReply notAWorker() {
+wire::CommandReply noWorkerReply() {
   wire::CommandReply Reply;
   Reply.set_code(static_cast<std::uint32_t>(ResultCode::UnknownGang));
-  Reply.set_detail("This agent stands beside a minion.");
+  Reply.set_detail("This agent serves a minion, not a worker.");
   return Reply;
 }
 
 } // namespace
 
-AgentProcess::AgentProcess(const Settings &Of, StateCharts Charts)
-    : Of(Of), Charts(std::move(Charts)),
+AgentProcess::AgentProcess(const Settings &Options, StateCharts Charts)
+    : Options(Options), Charts(std::move(Charts)),
       Incarnation(static_cast<std::uint64_t>(wallClockMs())) {}
 
 AgentProcess::~AgentProcess() {
   Stopping = true;
-  if (FindEntries.joinable())
-    FindEntries.join();
+  if (DiscoveryThread.joinable())
+    DiscoveryThread.join();
 }
 
-/// Every entry may have been replaced at once. When none answers any more, the
-/// store tells where the present ones are.
-void AgentProcess::findEntriesLoop() {
+/// Reads the current entry addresses from the store when no entry answers:
+/// all known entries may have been replaced at the same time.
+void AgentProcess::entryDiscoveryLoop() {
   Instant AnsweredAt = monotonicNow();
   while (!Stopping) {
-    std::this_thread::sleep_for(FindPeriod);
+    std::this_thread::sleep_for(DiscoveryPeriod);
     const Instant Now = monotonicNow();
-    if (!Announcing->answering().empty())
+    if (!Heartbeats->answering().empty())
       AnsweredAt = Now;
-    if (Now - AnsweredAt < FindAfter)
+    if (Now - AnsweredAt < DiscoveryDelay)
       continue;
     AnsweredAt = Now;
-    const auto Listed = Platform->list("entries/" + Of.Cell + "/");
+    const auto Listed = StoreClient->list("entries/" + Options.Cell + "/");
     if (!Listed)
       continue;
     for (const StoreEntry &Each : Listed->Entries) {
       wire::EntryRecord Entry;
       if (Entry.ParseFromString(Each.Value))
-        Announcing->add(Entry.rpc_address(), false);
+        Heartbeats->add(Entry.rpc_address(), false);
     }
   }
 }
 
 Expected<void> AgentProcess::start() {
-  Announcing = std::make_unique<Announcer>(
-      Peers, Keeper, Milliseconds(Of.HeartbeatMs), [this] { return beat(); },
+  Heartbeats = std::make_unique<Announcer>(
+      Peers, ActiveConfig, Milliseconds(Options.HeartbeatMs),
+      [this] { return buildHeartbeat(); },
       [this](const wire::HeartbeatReply &Reply, Instant SentAt) {
-        onReply(Reply, SentAt);
+        onHeartbeatReply(Reply, SentAt);
       });
-  if (Of.TargetKind == "minion")
-    Minion = std::make_unique<MinionGuard>(Of, Charts, Incarnation, Figures);
+  if (Options.TargetKind == "minion")
+    Minion =
+        std::make_unique<MinionController>(Options, Charts, Incarnation, Stats);
   else
-    Worker = std::make_unique<WorkerGuard>(
-        Of, Charts, makeHttpWorker(Of.TargetAddress), Peers, Figures,
-        [this] { Announcing->nudge(); });
-  auto Served = serveRpc(Of.RpcAddress, nullptr, this);
+    Worker = std::make_unique<WorkerController>(
+        Options, Charts, makeHttpWorker(Options.TargetAddress), Peers, Stats,
+        [this] { Heartbeats->nudge(); });
+  auto Served = serveRpc(Options.RpcAddress, nullptr, this);
   if (!Served)
     return tl::unexpected<Error>(Served.error());
   Rpc = std::move(*Served);
-  auto Admin =
-      serveHttp(Of.HttpAddress, adminLimits(),
+  auto AdminServer =
+      serveHttp(Options.HttpAddress, adminLimits(),
                 [this](const HttpRequest &Request) { return onHttp(Request); });
-  if (!Admin)
-    return tl::unexpected<Error>(Admin.error());
-  Http = std::move(*Admin);
-  for (const std::string &Address : Of.EntryAddresses)
-    Announcing->add(Address, true);
-  if (!Of.StoreAddress.empty()) {
-    Platform = makeHttpStore(Of.StoreAddress);
-    FindEntries = std::thread([this] { findEntriesLoop(); });
+  if (!AdminServer)
+    return tl::unexpected<Error>(AdminServer.error());
+  Http = std::move(*AdminServer);
+  for (const std::string &Address : Options.EntryAddresses)
+    Heartbeats->add(Address, true);
+  if (!Options.StoreAddress.empty()) {
+    StoreClient = makeHttpStore(Options.StoreAddress);
+    DiscoveryThread = std::thread([this] { entryDiscoveryLoop(); });
   }
   LOG4CPLUS_INFO(logOf("agent"), "Ready at " << Rpc->address() << ".");
   return {};
 }
 
-void AgentProcess::stop(Milliseconds Patience) {
-  LOG4CPLUS_INFO(logOf("agent"), "Graceful shutdown begins.");
+void AgentProcess::stop(Milliseconds Timeout) {
+  LOG4CPLUS_INFO(logOf("agent"), "Graceful shutdown started.");
   setDraining(true);
-  // An entry that has not heard of it would lose what it still sends here.
-  Announcing->tellAll(TellPatience);
-  std::this_thread::sleep_for(InTransit);
+  // An entry that does not know that this agent is draining keeps sending
+  // requests here, and they would be lost.
+  Heartbeats->tellAll(DrainNoticeTimeout);
+  std::this_thread::sleep_for(InTransitGrace);
   const bool Idle =
-      Minion ? Minion->waitIdle(Patience) : Worker->waitIdle(Patience);
+      Minion ? Minion->waitIdle(Timeout) : Worker->waitIdle(Timeout);
   if (!Idle)
-    LOG4CPLUS_WARN(logOf("agent"), "Stopping although work still runs.");
+    LOG4CPLUS_WARN(logOf("agent"), "Stopping while work is still running.");
   Rpc->shutdown(Milliseconds(1000));
-  Announcing->stop();
+  Heartbeats->stop();
   Http->drain(Milliseconds(0));
-  LOG4CPLUS_INFO(logOf("agent"), "Graceful shutdown is done.");
+  LOG4CPLUS_INFO(logOf("agent"), "Graceful shutdown completed.");
 }
 
 void AgentProcess::setDraining(bool Draining) {
@@ -120,37 +124,38 @@
     Minion->setDraining(Draining);
   if (Worker)
     Worker->setDraining(Draining);
-  Announcing->nudge();
-}
-
-wire::Heartbeat AgentProcess::beat() const {
-  wire::Heartbeat Beat;
-  Beat.set_node(Of.Node);
-  Beat.set_incarnation(Incarnation);
-  Beat.set_kind(Minion ? wire::MINION : wire::WORKER);
-  Beat.set_rpc_address(Of.AdvertisedRpcAddress.empty()
-                           ? Rpc->address()
-                           : Of.AdvertisedRpcAddress);
-  Beat.set_http_address(Http->address());
-  Beat.mutable_location()->set_place(Of.Place);
-  Beat.mutable_location()->set_data_centre(Of.DataCentre);
-  Beat.mutable_location()->set_rack(Of.Rack);
-  Beat.set_configuration_version(Keeper.version().value());
+  Heartbeats->nudge();
+}
+
+wire::Heartbeat AgentProcess::buildHeartbeat() const {
+  wire::Heartbeat Message;
+  Message.set_node(Options.Node);
+  Message.set_incarnation(Incarnation);
+  Message.set_kind(Minion ? wire::MINION : wire::WORKER);
+  Message.set_rpc_address(Options.AdvertisedRpcAddress.empty()
+                              ? Rpc->address()
+                              : Options.AdvertisedRpcAddress);
+  Message.set_http_address(Http->address());
+  Message.mutable_location()->set_place(Options.Place);
+  Message.mutable_location()->set_data_centre(Options.DataCentre);
+  Message.mutable_location()->set_rack(Options.Rack);
+  Message.set_configuration_version(ActiveConfig.version().value());
   if (Minion) {
-    Beat.set_draining(Minion->draining());
-    *Beat.mutable_minion() = Minion->status();
+    Message.set_draining(Minion->draining());
+    *Message.mutable_minion() = Minion->status();
   } else {
-    Beat.set_draining(Worker->draining());
-    *Beat.mutable_worker() = Worker->status();
+    Message.set_draining(Worker->draining());
+    *Message.mutable_worker() = Worker->status();
   }
-  return Beat;
+  return Message;
 }
 
-void AgentProcess::onReply(const wire::HeartbeatReply &Reply, Instant SentAt) {
+void AgentProcess::onHeartbeatReply(const wire::HeartbeatReply &Reply,
+                                    Instant SentAt) {
   if (!Worker)
     return;
-  Worker->raiseEpoch(Epoch(Reply.coordinator_epoch()));
-  Worker->heardEntry(SentAt, Milliseconds(Reply.coordinator_age_ms()));
+  Worker->observeEpoch(Epoch(Reply.coordinator_epoch()));
+  Worker->onEntryReply(SentAt, Milliseconds(Reply.coordinator_age_ms()));
 }
 
 HttpResponse AgentProcess::onHttp(const HttpRequest &Request) {
@@ -160,8 +165,8 @@
     return Response;
   }
   if (Request.Path != "/v1/state")
-    return refusal(ResultCode::UnknownPath, "There is nothing at this path.");
-  const auto Sender = identifyOperator(Request, *Keeper.current());
+    return refusal(ResultCode::UnknownPath, "No resource exists at this path.");
+  const auto Sender = identifyOperator(Request, *ActiveConfig.current());
   if (!Sender)
     return refusal(Sender.error());
   HttpResponse Response;
@@ -172,23 +177,23 @@
 std::string AgentProcess::dump() const {
   auto Out = makeDump();
   Out->set("program", "baobabcove-agent");
-  Out->set("node", Of.Node);
+  Out->set("node", Options.Node);
   Out->set("incarnation", Incarnation);
-  Out->set("configuration_version", Keeper.version().value());
+  Out->set("configuration_version", ActiveConfig.version().value());
   Poco::JSON::Array::Ptr Entries = new Poco::JSON::Array;
-  for (const std::string &Address : Announcing->answering())
+  for (const std::string &Address : Heartbeats->answering())
     Entries->add(Address);
   Out->set("entries", Entries);
   if (Minion) {
     const wire::MinionStatus Status = Minion->status();
-    Out->set("minion", Minion->life());
+    Out->set("minion", Minion->lifecycleState());
     Out->set("service", Status.service());
     Out->set("slots", Status.slots());
     Out->set("in_flight", Status.in_flight());
     Out->set("outcomes", Minion->outcomes());
     Out->set("draining", Minion->draining());
   } else {
-    Out->set("worker", Worker->life());
+    Out->set("worker", Worker->lifecycleState());
     Poco::JSON::Array::Ptr Parts = new Poco::JSON::Array;
     const wire::WorkerStatus Status = Worker->status();
     for (const auto &Part : Status.parts()) {
@@ -206,7 +211,7 @@
     Out->set("part_events_refused", Worker->refusedEvents());
     Out->set("draining", Worker->draining());
   }
-  Out->set("figures", Figures.dump());
+  Out->set("figures", Stats.dump());
   Out->set("process", processStats());
   return dumpText(Out);
 }
@@ -214,24 +219,24 @@
 wire::ExecuteReply AgentProcess::execute(const wire::ExecuteRequest &Request) {
   if (!Minion)
     return executeRefusal(ResultCode::NoMinion,
-                          "This agent stands beside a worker.");
+                          "This agent serves a worker, not a minion.");
   return Minion->execute(Request);
 }
 
 wire::CommandReply AgentProcess::reserve(const wire::ReserveRequest &Request) {
-  return Worker ? Worker->reserve(Request) : notAWorker();
+  return Worker ? Worker->reserve(Request) : noWorkerReply();
 }
 
 wire::CommandReply AgentProcess::start(const wire::StartRequest &Request) {
-  return Worker ? Worker->start(Request) : notAWorker();
+  return Worker ? Worker->start(Request) : noWorkerReply();
 }
 
 wire::CommandReply AgentProcess::renew(const wire::RenewRequest &Request) {
-  return Worker ? Worker->renew(Request) : notAWorker();
+  return Worker ? Worker->renew(Request) : noWorkerReply();
 }
 
 wire::CommandReply AgentProcess::stop(const wire::StopRequest &Request) {
-  return Worker ? Worker->stop(Request) : notAWorker();
+  return Worker ? Worker->stop(Request) : noWorkerReply();
 }
 
 wire::InventoryReply
--- a/src/agent/AgentProcess.h
+++ b/src/agent/AgentProcess.h
@@ -1,11 +1,8 @@
-/// \file
-/// The agent beside one minion or worker.
-
 #ifndef BAOBABCOVE_AGENT_AGENTPROCESS_H
 #define BAOBABCOVE_AGENT_AGENTPROCESS_H
 
-#include "agent/MinionGuard.h"
-#include "agent/WorkerGuard.h"
+#include "agent/MinionController.h"
+#include "agent/WorkerController.h"
 #include "base/Metrics.h"
 #include "config/ConfigurationKeeper.h"
 #include "config/Settings.h"
@@ -22,18 +19,20 @@
 
 namespace baobabcove {
 
-/// Ties the parts of an agent together.
+/// The agent process of one minion or worker: serves the agent RPCs and the
+/// admin HTTP interface and sends heartbeats to the entries.
 class AgentProcess : public AgentHandler {
 public:
-  AgentProcess(const Settings &Of, StateCharts Charts);
+  AgentProcess(const Settings &Options, StateCharts Charts);
   ~AgentProcess() override;
 
-  /// Binds the addresses and begins to announce the target.
+  /// Binds the addresses and starts sending heartbeats. Fails when an address
+  /// cannot be bound.
   Expected<void> start();
 
-  /// Graceful shutdown: takes nothing new, waits for what runs, at most
-  /// \p Patience, and takes leave of the entries.
-  void stop(Milliseconds Patience);
+  /// Shuts down gracefully: refuses new work, waits at most \p Timeout for
+  /// running work and sends the entries a final heartbeat.
+  void stop(Milliseconds Timeout);
 
   std::string dump() const;
   std::string httpAddress() const { return Http->address(); }
@@ -50,25 +49,25 @@
 
 private:
   void setDraining(bool Draining);
-  wire::Heartbeat beat() const;
-  void onReply(const wire::HeartbeatReply &Reply, Instant SentAt);
+  wire::Heartbeat buildHeartbeat() const;
+  void onHeartbeatReply(const wire::HeartbeatReply &Reply, Instant SentAt);
   HttpResponse onHttp(const HttpRequest &Request);
-  void findEntriesLoop();
+  void entryDiscoveryLoop();
 
-  const Settings Of;
+  const Settings Options;
   const StateCharts Charts;
   const std::uint64_t Incarnation;
-  Metrics Figures;
-  ConfigurationKeeper Keeper;
+  Metrics Stats;
+  ConfigurationKeeper ActiveConfig;
   RpcPeers Peers;
-  std::unique_ptr<MinionGuard> Minion;
-  std::unique_ptr<WorkerGuard> Worker;
+  std::unique_ptr<MinionController> Minion;
+  std::unique_ptr<WorkerController> Worker;
   std::unique_ptr<RpcServer> Rpc;
   std::unique_ptr<HttpServer> Http;
-  std::unique_ptr<Announcer> Announcing;
-  std::unique_ptr<Store> Platform;
+  std::unique_ptr<Announcer> Heartbeats;
+  std::unique_ptr<Store> StoreClient;
   std::atomic<bool> Stopping{false};
-  std::thread FindEntries;
+  std::thread DiscoveryThread;
 };
 
 } // namespace baobabcove
--- a/src/agent/MinionGuard.cpp
+++ b/src/agent/MinionController.cpp
@@ -1,4 +1,4 @@
-#include "agent/MinionGuard.h"
+#include "agent/MinionController.h"
 
 #include "base/Log.h"
 #include "base/Text.h"
@@ -11,43 +11,45 @@
 
 constexpr std::size_t MaxOutcomeBytes = 32 << 20;
 constexpr Milliseconds HealthPeriod{300};
-constexpr Milliseconds HealthPatience{1000};
+constexpr Milliseconds HealthTimeout{1000};
 constexpr int HttpUnavailable = 503;
 constexpr int HttpOk = 200;
 
 } // namespace
 
-MinionGuard::MinionGuard(const Settings &Of, const StateCharts &Charts,
-                         std::uint64_t Incarnation, Metrics &Figures)
-    : Slots(Of.Slots), Service(Of.Service), Incarnation(Incarnation),
-      Figures(Figures), Minion(Of.TargetAddress), Health(Of.TargetAddress),
-      Outcomes(Of.MaxOutcomes, MaxOutcomeBytes), Life(Charts.Minion, Figures),
-      HealthThread([this] { watchHealth(); }) {}
+MinionController::MinionController(const Settings &Options,
+                                   const StateCharts &Charts,
+                                   std::uint64_t Incarnation, Metrics &Stats)
+    : Slots(Options.Slots), Service(Options.Service), Incarnation(Incarnation),
+      Stats(Stats), Minion(Options.TargetAddress),
+      Health(Options.TargetAddress),
+      Outcomes(Options.MaxOutcomes, MaxOutcomeBytes),
+      Lifecycle(Charts.Minion, Stats), HealthThread([this] { healthLoop(); }) {}
 
-MinionGuard::~MinionGuard() {
+MinionController::~MinionController() {
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
     Stopping = true;
   }
-  Changed.notify_all();
+  StateChanged.notify_all();
   HealthThread.join();
 }
 
-Expected<void> MinionGuard::checkPin(const wire::ExecuteRequest &Request,
-                                     Instant Now) const {
+Expected<void> MinionController::checkPin(const wire::ExecuteRequest &Request,
+                                          Instant Now) const {
   if (Request.pinned_incarnation() == 0)
     return {};
   if (Request.pinned_incarnation() != Incarnation)
     return failure(ResultCode::PinExpired,
-                   "The agent that may have run it has been replaced.");
+                   "The agent that may have run the request has restarted.");
   if (Request.pinned_period() + OutcomeTable::KeptPeriods <
       Outcomes.period(Now))
     return failure(ResultCode::PinExpired,
-                   "The outcome is no longer kept; the key is too old.");
+                   "The key is too old; the outcome is no longer stored.");
   return {};
 }
 
-bool MinionGuard::takeSlot() {
+bool MinionController::tryAcquireSlot() {
   const std::lock_guard<std::mutex> Lock(Mutex);
   if (InFlight >= Slots)
     return false;
@@ -55,13 +57,14 @@
   return true;
 }
 
-void MinionGuard::freeSlot() {
+void MinionController::releaseSlot() {
   const std::lock_guard<std::mutex> Lock(Mutex);
   --InFlight;
-  Changed.notify_all();
+  StateChanged.notify_all();
 }
 
-wire::ExecuteReply MinionGuard::execute(const wire::ExecuteRequest &Request) {
+wire::ExecuteReply
+MinionController::execute(const wire::ExecuteRequest &Request) {
   const Instant Now = monotonicNow();
   const Instant Deadline = Now + Milliseconds(Request.deadline_ms());
   wire::ExecuteReply Reply;
@@ -70,11 +73,12 @@
   } else {
     const std::string Digest =
         sha256Hex(Request.service() + '\n' + Request.body());
-    const auto Claim = Outcomes.begin(Request, Digest, Deadline, Now, Reply);
-    if (Claim == OutcomeTable::Claim::Run) {
+    const auto Result = Outcomes.begin(Request, Digest, Deadline, Now, Reply);
+    if (Result == OutcomeTable::Admission::Run) {
       Reply = runOnMinion(Request, Deadline);
       const auto Code = static_cast<ResultCode>(Reply.code());
-      // What has not run may be delivered again; all else is kept.
+      // A request that did not run may be delivered again. Any other outcome
+      // is stored.
       if (resultInfo(Code).Ran == Outcome::NotRun)
         Outcomes.abandon(Request);
       else
@@ -87,12 +91,13 @@
   return Reply;
 }
 
-wire::ExecuteReply MinionGuard::runOnMinion(const wire::ExecuteRequest &Request,
-                                            Instant Deadline) {
+wire::ExecuteReply
+MinionController::runOnMinion(const wire::ExecuteRequest &Request,
+                              Instant Deadline) {
   if (draining())
     return executeRefusal(ResultCode::Draining,
                           "The minion is in graceful shutdown.");
-  if (!takeSlot())
+  if (!tryAcquireSlot())
     return executeRefusal(ResultCode::Overloaded, "Every slot is in use.");
   HttpCall Call;
   Call.Path = "/run";
@@ -102,11 +107,11 @@
   Call.Headers["X-Workspace"] = Request.workspace();
   Call.OwnConnection = !Request.idempotent();
   Call.Patience = std::max(Deadline - monotonicNow(), Milliseconds(1));
-  const Instant Began = monotonicNow();
+  const Instant StartedAt = monotonicNow();
   auto Answer = Minion.call(Call);
-  Figures.sample("minion_ms",
-                 static_cast<double>((monotonicNow() - Began).count()));
-  freeSlot();
+  Stats.sample("minion_ms",
+               static_cast<double>((monotonicNow() - StartedAt).count()));
+  releaseSlot();
   if (!Answer) {
     if (Answer.error().Code == ResultCode::PeerUnreachable)
       return executeRefusal(ResultCode::NoMinion, Answer.error().Detail);
@@ -115,10 +120,11 @@
                                : ResultCode::MinionFailed,
                           Answer.error().Detail);
   }
-  // By the contract with minions, 503 says that the work was not begun.
+  // The minion protocol defines 503 as "the work was not started".
   if (Answer->Status == HttpUnavailable)
-    return executeRefusal(ResultCode::Overloaded,
-                          "The minion refused the request.");
+    return executeRefusal(
+        ResultCode::Overloaded,
+        "The minion answered 503 and did not run the request.");
   wire::ExecuteReply Reply;
   Reply.set_code(static_cast<std::uint32_t>(ResultCode::Ok));
   Reply.set_http_status(static_cast<std::uint32_t>(Answer->Status));
@@ -127,13 +133,13 @@
   return Reply;
 }
 
-void MinionGuard::setDraining(bool Draining) {
-  Life.take(Draining ? "drain" : "resume");
+void MinionController::setDraining(bool Draining) {
+  Lifecycle.take(Draining ? "drain" : "resume");
 }
 
-bool MinionGuard::draining() const { return !Life.is("serving"); }
+bool MinionController::draining() const { return !Lifecycle.is("serving"); }
 
-wire::MinionStatus MinionGuard::status() const {
+wire::MinionStatus MinionController::status() const {
   wire::MinionStatus Status;
   Status.set_service(Service);
   Status.set_slots(Slots);
@@ -143,29 +149,30 @@
   return Status;
 }
 
-bool MinionGuard::waitIdle(Milliseconds Patience) {
+bool MinionController::waitIdle(Milliseconds Timeout) {
   std::unique_lock<std::mutex> Lock(Mutex);
-  return Changed.wait_for(Lock, Patience, [&] { return InFlight == 0; });
+  return StateChanged.wait_for(Lock, Timeout, [&] { return InFlight == 0; });
 }
 
-bool MinionGuard::minionAcceptsWork() {
+bool MinionController::isMinionHealthy() {
   HttpCall Call;
   Call.Method = "GET";
   Call.Path = "/health";
-  Call.Patience = HealthPatience;
+  Call.Patience = HealthTimeout;
   const auto Answer = Health.call(Call);
   return Answer && Answer->Status == HttpOk;
 }
 
-void MinionGuard::watchHealth() {
+void MinionController::healthLoop() {
   std::unique_lock<std::mutex> Lock(Mutex);
   while (!Stopping) {
     Lock.unlock();
-    const bool Accepts = minionAcceptsWork();
-    if (Life.take(Accepts ? "accept" : "refuse"))
-      LOG4CPLUS_INFO(logOf("minion"), "The minion is " << Life.state() << ".");
+    const bool Healthy = isMinionHealthy();
+    if (Lifecycle.take(Healthy ? "accept" : "refuse"))
+      LOG4CPLUS_INFO(logOf("minion"),
+                     "The minion is " << Lifecycle.state() << ".");
     Lock.lock();
-    Changed.wait_for(Lock, HealthPeriod, [&] { return Stopping; });
+    StateChanged.wait_for(Lock, HealthPeriod, [&] { return Stopping; });
   }
 }
 
--- a/src/agent/OutcomeTable.cpp
+++ b/src/agent/OutcomeTable.cpp
@@ -10,10 +10,10 @@
 }
 
 OutcomeTable::OutcomeTable(std::size_t MaxEntries, std::size_t MaxBytes)
-    : MaxEntries(MaxEntries), MaxBytes(MaxBytes), Began(monotonicNow()) {}
+    : MaxEntries(MaxEntries), MaxBytes(MaxBytes), StartedAt(monotonicNow()) {}
 
 std::uint64_t OutcomeTable::period(Instant Now) const {
-  return 1 + static_cast<std::uint64_t>((Now - Began) / Period);
+  return 1 + static_cast<std::uint64_t>((Now - StartedAt) / Period);
 }
 
 OutcomeTable::Key OutcomeTable::keyOf(const wire::ExecuteRequest &Request) {
@@ -30,82 +30,83 @@
 
 bool OutcomeTable::makeRoom(Instant Now) {
   const std::uint64_t Present = period(Now);
-  while (!Order.empty()) {
-    const auto Found = Table.find(Order.front());
+  while (!EndOrder.empty()) {
+    const auto Found = Table.find(EndOrder.front());
     const bool Old =
         Found == Table.end() || Found->second.Period + KeptPeriods < Present;
     if (!Old)
       break;
-    drop(Order.front());
-    Order.pop_front();
+    drop(EndOrder.front());
+    EndOrder.pop_front();
   }
   return Table.size() < MaxEntries && Bytes < MaxBytes;
 }
 
-OutcomeTable::Claim OutcomeTable::begin(const wire::ExecuteRequest &Request,
-                                        const std::string &Digest,
-                                        Instant Deadline, Instant Now,
-                                        wire::ExecuteReply &Reply) {
+OutcomeTable::Admission OutcomeTable::begin(const wire::ExecuteRequest &Request,
+                                            const std::string &Digest,
+                                            Instant Deadline, Instant Now,
+                                            wire::ExecuteReply &Reply) {
   std::unique_lock<std::mutex> Lock(Mutex);
-  const Key Wanted = keyOf(Request);
+  const Key RequestKey = keyOf(Request);
   const auto NotRunning = [&] {
-    const auto Found = Table.find(Wanted);
-    return Found == Table.end() || Found->second.Now != State::Running;
+    const auto Found = Table.find(RequestKey);
+    return Found == Table.end() || Found->second.Status != State::Running;
   };
-  if (!Ended.wait_until(Lock, Deadline, NotRunning)) {
+  if (!EntryEnded.wait_until(Lock, Deadline, NotRunning)) {
     Reply = executeRefusal(ResultCode::DeadlineAfterStart,
-                           "The request still runs.");
-    return Claim::Known;
+                           "The request is still running.");
+    return Admission::Replied;
   }
-  const auto Found = Table.find(Wanted);
+  const auto Found = Table.find(RequestKey);
   if (Found != Table.end()) {
-    if (!Request.ask_only() && Found->second.Now == State::Done &&
+    if (!Request.ask_only() && Found->second.Status == State::Done &&
         Found->second.Digest != Digest)
       Reply = executeRefusal(ResultCode::KeyReused,
-                             "The key was used for another request.");
+                             "The key was used for a different request.");
     else
       Reply = Found->second.Reply;
-    return Claim::Known;
+    return Admission::Replied;
   }
   if (!makeRoom(Now)) {
     Reply = executeRefusal(ResultCode::OutcomeTableFull,
-                           "Too many recent outcomes are kept.");
-    // A delivery that only asks cannot be told "not run" when the bar cannot
-    // be kept: the first delivery may still be under way.
+                           "The outcome table is full of recent entries.");
+    // Without an entry that withdraws the request, an ask_only delivery must
+    // not be answered "not run": the first delivery may still be in flight.
     if (Request.ask_only())
-      Reply = executeRefusal(ResultCode::OutcomeUnknown,
-                             "The agent cannot keep the bar.");
-    return Claim::Known;
+      Reply = executeRefusal(
+          ResultCode::OutcomeUnknown,
+          "The outcome table has no room to withdraw the request.");
+    return Admission::Replied;
   }
-  Entry &Fresh = Table[Wanted];
-  Fresh.Period = period(Now);
-  Fresh.Digest = Digest;
+  Entry &NewEntry = Table[RequestKey];
+  NewEntry.Period = period(Now);
+  NewEntry.Digest = Digest;
   if (!Request.ask_only())
-    return Claim::Run;
-  Fresh.Now = State::Barred;
-  Fresh.Reply = executeRefusal(ResultCode::Withdrawn,
-                               "It had not arrived and will not run.");
-  Order.push_back(Wanted);
-  Reply = Fresh.Reply;
-  return Claim::Known;
+    return Admission::Run;
+  NewEntry.Status = State::Withdrawn;
+  NewEntry.Reply = executeRefusal(
+      ResultCode::Withdrawn, "The request had not arrived and will not run.");
+  EndOrder.push_back(RequestKey);
+  Reply = NewEntry.Reply;
+  return Admission::Replied;
 }
 
 void OutcomeTable::finish(const wire::ExecuteRequest &Request,
                           const wire::ExecuteReply &Reply, Instant Now) {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  Entry &Of = Table[keyOf(Request)];
-  Of.Now = State::Done;
-  Of.Reply = Reply;
-  Of.Period = period(Now);
+  Entry &Finished = Table[keyOf(Request)];
+  Finished.Status = State::Done;
+  Finished.Reply = Reply;
+  Finished.Period = period(Now);
   Bytes += Reply.body().size();
-  Order.push_back(keyOf(Request));
-  Ended.notify_all();
+  EndOrder.push_back(keyOf(Request));
+  EntryEnded.notify_all();
 }
 
 void OutcomeTable::abandon(const wire::ExecuteRequest &Request) {
   const std::lock_guard<std::mutex> Lock(Mutex);
   Table.erase(keyOf(Request));
-  Ended.notify_all();
+  EntryEnded.notify_all();
 }
 
 std::size_t OutcomeTable::size() const {
--- a/src/agent/OutcomeTable.h
+++ b/src/agent/OutcomeTable.h
@@ -1,6 +1,3 @@
-/// \file
-/// What became of the requests that reached this agent.
-
 #ifndef BAOBABCOVE_AGENT_OUTCOMETABLE_H
 #define BAOBABCOVE_AGENT_OUTCOMETABLE_H
 
@@ -18,50 +15,52 @@
 
 namespace baobabcove {
 
-/// Keeps, for each request, that it runs, how it ended, or that it must not
-/// run any more. Entries are kept for at least two periods; a table that is
-/// full of younger ones takes no new request. Thread-safe.
+/// Records for each request whether it is running, how it ended, or that it
+/// was withdrawn and must not run. Entries are kept for at least KeptPeriods
+/// periods; a table full of younger entries refuses new requests. Thread-safe.
 class OutcomeTable {
 public:
-  /// Length of a period. Tickets name the period in which they were given.
+  /// Length of a period. A ticket carries the period in which it was issued.
   static constexpr Milliseconds Period{300000};
-  /// Periods for which an outcome is surely kept.
+  /// Minimum number of periods for which an outcome is kept.
   static constexpr std::uint64_t KeptPeriods = 2;
 
   OutcomeTable(std::size_t MaxEntries, std::size_t MaxBytes);
 
-  /// The number of the present period; it counts from one.
+  /// Returns the number of the current period, counted from one.
   std::uint64_t period(Instant Now) const;
 
-  enum class Claim {
-    /// The caller is to run the request and then call finish or abandon.
+  enum class Admission {
+    /// The caller must run the request and then call finish or abandon.
     Run,
-    /// The reply of the first run, or its refusal, was filled in.
-    Known,
+    /// The reply of the first run, or a refusal, was stored in the reply.
+    Replied,
   };
 
-  /// Looks a delivery up, waiting until \p Deadline for a run that is under
-  /// way. A delivery that only asks, and finds nothing, bars the request from
-  /// running later.
-  Claim begin(const wire::ExecuteRequest &Request, const std::string &Digest,
-              Instant Deadline, Instant Now, wire::ExecuteReply &Reply);
+  /// Looks up the request of a delivery and waits until \p Deadline if it is
+  /// running. An ask_only delivery that finds no entry withdraws the request,
+  /// so that a later delivery of it does not run.
+  Admission begin(const wire::ExecuteRequest &Request,
+                  const std::string &Digest, Instant Deadline, Instant Now,
+                  wire::ExecuteReply &Reply);
 
-  /// The run has ended with \p Reply.
+  /// Records that the run ended with \p Reply.
   void finish(const wire::ExecuteRequest &Request,
               const wire::ExecuteReply &Reply, Instant Now);
 
-  /// The run never began; the request may be delivered again.
+  /// Removes the entry of a run that never started; the request may be
+  /// delivered again.
   void abandon(const wire::ExecuteRequest &Request);
 
   std::size_t size() const;
   std::size_t bytes() const;
 
 private:
-  enum class State { Running, Done, Barred };
+  enum class State { Running, Done, Withdrawn };
   using Key = std::pair<std::string, std::string>;
 
   struct Entry {
-    State Now = State::Running;
+    State Status = State::Running;
     std::string Digest;
     wire::ExecuteReply Reply;
     std::uint64_t Period = 0;
@@ -73,16 +72,16 @@
 
   const std::size_t MaxEntries;
   const std::size_t MaxBytes;
-  const Instant Began;
+  const Instant StartedAt;
   mutable std::mutex Mutex;
-  std::condition_variable Ended;
+  std::condition_variable EntryEnded;
   std::map<Key, Entry> Table;
-  /// Keys in the order in which they ended.
-  std::deque<Key> Order;
+  /// Keys in the order in which their requests ended.
+  std::deque<Key> EndOrder;
   std::size_t Bytes = 0;
 };
 
-/// A reply that refuses with \p Code.
+/// Returns a reply that refuses the request with \p Code.
 wire::ExecuteReply executeRefusal(ResultCode Code, const std::string &Detail);
 
 } // namespace baobabcove
--- a/src/agent/PartTable.cpp
+++ b/src/agent/PartTable.cpp
@@ -8,15 +8,16 @@
 
 namespace {
 
-/// Ended parts that are kept for a coordinator which has not yet heard of
-/// them; the oldest is dropped beyond.
-constexpr std::size_t MaxEnded = 512;
-/// A report taken before the worker got the order does not know the tasks.
-constexpr Milliseconds StartGrace{1500};
-
-/// The event by which a part follows its tasks at the worker; empty while they
-/// run.
-std::string eventOf(const std::string &TaskState) {
+/// Ended parts kept for a coordinator that has not recorded them yet. Above
+/// this number the oldest is dropped.
+constexpr std::size_t MaxEndedParts = 512;
+/// Time after the start order in which a missing task is not treated as lost:
+/// the report may have been taken before the worker received the order.
+constexpr Milliseconds TaskStartGrace{1500};
+
+/// Maps the worker's task state to an event of the task chart; empty while the
+/// tasks are running.
+std::string eventForTaskState(const std::string &TaskState) {
   if (TaskState == "running")
     return {};
   if (TaskState == "succeeded")
@@ -28,7 +29,7 @@
   return "lose";
 }
 
-/// The chart's name of a phase.
+/// Returns the name of a phase in the task chart.
 std::string stateName(wire::GangPhase Phase) {
   return Poco::toLower(wire::GangPhase_Name(Phase));
 }
@@ -36,7 +37,7 @@
 } // namespace
 
 std::string PartRecord::taskName() const {
-  return Job.str() + "." + std::to_string(Number.value());
+  return Job.str() + "." + std::to_string(AttemptNumber.value());
 }
 
 bool PartRecord::ended() const {
@@ -47,29 +48,31 @@
 wire::GangPart PartRecord::toWire() const {
   wire::GangPart Part;
   Part.set_job(Job.str());
-  Part.set_attempt(Number.value());
+  Part.set_attempt(AttemptNumber.value());
   Part.set_phase(Phase);
   Part.set_progress_ms(static_cast<std::uint64_t>(Progress.count()));
   Part.set_may_have_run(MayHaveRun);
-  Part.set_accelerators(Need.tasks() * Need.accelerators_per_task());
-  Part.set_epoch(By.value());
+  Part.set_accelerators(Reservation.tasks() *
+                        Reservation.accelerators_per_task());
+  Part.set_epoch(CoordinatorEpoch.value());
   Part.set_checkpointed(Checkpointed);
   Part.set_memory_mb_per_task(MemoryMbPerTask);
   return Part;
 }
 
-Expected<void> PartTable::admit(Epoch By) {
-  if (By < Highest)
+Expected<void> PartTable::checkEpoch(Epoch CoordinatorEpoch) {
+  if (CoordinatorEpoch < HighestSeen)
     return failure(ResultCode::StaleEpoch,
-                   "Epoch " + std::to_string(By.value()) + " is older than " +
-                       std::to_string(Highest.value()) + ".");
-  Highest = By;
+                   "Epoch " + std::to_string(CoordinatorEpoch.value()) +
+                       " is older than the known epoch " +
+                       std::to_string(HighestSeen.value()) + ".");
+  HighestSeen = CoordinatorEpoch;
   return {};
 }
 
-void PartTable::raiseEpoch(Epoch Heard) {
-  if (Highest < Heard)
-    Highest = Heard;
+void PartTable::observeEpoch(Epoch Observed) {
+  if (HighestSeen < Observed)
+    HighestSeen = Observed;
 }
 
 bool PartTable::fits(const wire::ReserveRequest &Request) const {
@@ -83,7 +86,7 @@
   };
   for (const auto &[Name, Part] : Parts)
     if (!Part.ended())
-      Add(Part.Need);
+      Add(Part.Reservation);
   Add(Request);
   return Accelerators <= Size.Accelerators && Cores <= Size.Cores &&
          MemoryMb <= Size.MemoryMb;
@@ -91,87 +94,89 @@
 
 Expected<void> PartTable::reserve(const wire::ReserveRequest &Request,
                                   Instant Now) {
-  if (auto Admitted = admit(Epoch(Request.epoch())); !Admitted)
+  if (auto Admitted = checkEpoch(Epoch(Request.epoch())); !Admitted)
     return Admitted;
   const JobId Job(Request.job());
-  if (PartRecord *Known = find(Job, Attempt(Request.attempt()))) {
-    if (Known->Phase == wire::RESERVED)
+  if (PartRecord *Existing = find(Job, Attempt(Request.attempt()))) {
+    if (Existing->Phase == wire::RESERVED)
       return {};
-    return failure(ResultCode::NoCapacity, "The attempt was used before.");
+    return failure(ResultCode::NoCapacity,
+                   "The attempt number has been used before.");
   }
   for (const auto &[Name, Part] : Parts)
     if (Part.Job == Job && !Part.ended())
       return failure(ResultCode::NoCapacity,
                      "An earlier attempt of the job has not ended.");
   if (!fits(Request))
-    return failure(ResultCode::NoCapacity, "The worker has too little free.");
-  PartRecord Fresh;
-  Fresh.Job = Job;
-  Fresh.Number = Attempt(Request.attempt());
-  Fresh.By = Epoch(Request.epoch());
-  Fresh.Need = Request;
-  Fresh.Until = Now + Milliseconds(Request.ttl_ms());
-  Parts[{Job, Request.attempt()}] = Fresh;
+    return failure(ResultCode::NoCapacity,
+                   "The worker has too few free resources.");
+  PartRecord NewPart;
+  NewPart.Job = Job;
+  NewPart.AttemptNumber = Attempt(Request.attempt());
+  NewPart.CoordinatorEpoch = Epoch(Request.epoch());
+  NewPart.Reservation = Request;
+  NewPart.ExpiresAt = Now + Milliseconds(Request.ttl_ms());
+  Parts[{Job, Request.attempt()}] = NewPart;
   return {};
 }
 
 Expected<void> PartTable::arm(const wire::StartRequest &Request,
                               const NodeId &Self, Instant Now) {
-  if (auto Admitted = admit(Epoch(Request.epoch())); !Admitted)
+  if (auto Admitted = checkEpoch(Epoch(Request.epoch())); !Admitted)
     return Admitted;
   PartRecord *Part = find(JobId(Request.job()), Attempt(Request.attempt()));
   if (!Part || Part->ended())
-    return failure(ResultCode::UnknownGang, "Nothing is reserved for it.");
+    return failure(ResultCode::UnknownGang, "The attempt has no reservation.");
   if (Part->Phase != wire::RESERVED)
     return {};
-  if (Now > Part->Until)
-    return failure(ResultCode::UnknownGang, "The reservation has lapsed.");
-  if (auto Moved = move(*Part, "arm", Now); !Moved)
+  if (Now > Part->ExpiresAt)
+    return failure(ResultCode::UnknownGang, "The reservation has expired.");
+  if (auto Moved = transition(*Part, "arm", Now); !Moved)
     return Moved;
   Part->Start = Request;
-  Part->Until = Now + Lease;
+  Part->ExpiresAt = Now + Lease;
   Part->Progress = Milliseconds(Request.resume_ms());
-  Part->Leads =
+  Part->IsLead =
       Request.members_size() > 0 && Request.members(0).node() == Self.str();
   return {};
 }
 
-Expected<PartRecord *> PartTable::renew(const JobId &Job, Attempt Number,
-                                        Instant Now, Instant Horizon) {
-  PartRecord *Part = find(Job, Number);
+Expected<PartRecord *> PartTable::renew(const JobId &Job, Attempt AttemptNumber,
+                                        Instant Now, Instant LatestExpiry) {
+  PartRecord *Part = find(Job, AttemptNumber);
   if (!Part || Part->Phase == wire::RESERVED)
     return failure(ResultCode::UnknownGang, "The part is not armed.");
   if (Part->ended())
     return Part;
-  if (Now > Part->Until || Now > Horizon)
-    return failure(ResultCode::UnknownGang, "The lease has lapsed.");
-  Part->Until = std::min(Now + Lease, Horizon);
+  if (Now > Part->ExpiresAt || Now > LatestExpiry)
+    return failure(ResultCode::UnknownGang, "The lease has expired.");
+  Part->ExpiresAt = std::min(Now + Lease, LatestExpiry);
   return Part;
 }
 
-PartRecord *PartTable::find(const JobId &Job, Attempt Number) {
-  const auto Found = Parts.find({Job, Number.value()});
+PartRecord *PartTable::find(const JobId &Job, Attempt AttemptNumber) {
+  const auto Found = Parts.find({Job, AttemptNumber.value()});
   return Found == Parts.end() ? nullptr : &Found->second;
 }
 
-Expected<void> PartTable::move(PartRecord &Part, const std::string &Event,
-                               Instant Now) {
+Expected<void> PartTable::transition(PartRecord &Part, const std::string &Event,
+                                     Instant Now) {
   const auto Next = Chart.next(stateName(Part.Phase), Event);
   wire::GangPhase Phase{};
   if (!Next || !wire::GangPhase_Parse(Poco::toUpper(*Next), &Phase)) {
     ++RefusedEvents;
     return failure(ResultCode::EventNotAllowed,
-                   "A part that is " + stateName(Part.Phase) +
-                       " does not take the event " + Event + ".");
+                   "A part in state " + stateName(Part.Phase) +
+                       " does not allow the event " + Event + ".");
   }
   Part.Phase = Phase;
   Part.ChangedAt = Now;
   if (Part.ended())
-    dropOldest();
+    dropOldestEnded();
   return {};
 }
 
-void PartTable::dropOldest() {
+void PartTable::dropOldestEnded() {
   std::size_t Ended = 0;
   auto Oldest = Parts.end();
   for (auto It = Parts.begin(); It != Parts.end(); ++It) {
@@ -182,27 +187,27 @@
         It->second.ChangedAt < Oldest->second.ChangedAt)
       Oldest = It;
   }
-  if (Ended > MaxEnded)
+  if (Ended > MaxEndedParts)
     Parts.erase(Oldest);
 }
 
-void PartTable::forget(const JobId &Job, Attempt Number) {
-  const auto Found = Parts.find({Job, Number.value()});
+void PartTable::forget(const JobId &Job, Attempt AttemptNumber) {
+  const auto Found = Parts.find({Job, AttemptNumber.value()});
   if (Found != Parts.end() && Found->second.ended())
     Parts.erase(Found);
 }
 
-std::vector<std::string> PartTable::lapse(Instant Now) {
+std::vector<std::string> PartTable::expireLeases(Instant Now) {
   std::vector<std::string> Tasks;
   for (auto It = Parts.begin(); It != Parts.end();) {
     PartRecord &Part = It->second;
-    if (Part.ended() || Now <= Part.Until) {
+    if (Part.ended() || Now <= Part.ExpiresAt) {
       ++It;
       continue;
     }
     if (Part.Phase == wire::RUNNING) {
       Tasks.push_back(Part.taskName());
-      (void)move((It++)->second, "lose", Now);
+      (void)transition((It++)->second, "lose", Now);
       continue;
     }
     It = Parts.erase(It);
@@ -210,30 +215,30 @@
   return Tasks;
 }
 
-bool PartTable::observe(const platform::WorkerReport &Report, Instant Now) {
+bool PartTable::applyReport(const platform::WorkerReport &Report, Instant Now) {
   std::map<std::string, const platform::TaskStatus *> ByName;
   for (const auto &Status : Report.tasks())
     ByName[Status.id()] = &Status;
-  std::vector<std::pair<PartRecord *, std::string>> Moves;
+  std::vector<std::pair<PartRecord *, std::string>> Transitions;
   for (auto &[Name, Part] : Parts) {
     if (Part.Phase != wire::RUNNING)
       continue;
     const auto Found = ByName.find(Part.taskName());
     std::string Event = "lose";
     if (Found != ByName.end()) {
-      Event = eventOf(Found->second->state());
+      Event = eventForTaskState(Found->second->state());
       Part.Progress = Milliseconds(Found->second->progress_ms());
       Part.MemoryMbPerTask = Found->second->memory_mb_per_task();
-    } else if (Now < Part.ChangedAt + StartGrace) {
+    } else if (Now < Part.ChangedAt + TaskStartGrace) {
       continue;
     }
-    if (Event.empty() || (Event == "stop" && Part.StopUnderWay))
+    if (Event.empty() || (Event == "stop" && Part.StopInProgress))
       continue;
-    Moves.emplace_back(&Part, Event);
+    Transitions.emplace_back(&Part, Event);
   }
-  for (auto &[Part, Event] : Moves)
-    (void)move(*Part, Event, Now);
-  return !Moves.empty();
+  for (auto &[Part, Event] : Transitions)
+    (void)transition(*Part, Event, Now);
+  return !Transitions.empty();
 }
 
 std::vector<PartRecord *> PartTable::all() {
--- a/src/agent/PartTable.h
+++ b/src/agent/PartTable.h
@@ -1,7 +1,3 @@
-/// \file
-/// The parts of gangs that one worker holds, and the rules by which they move
-/// from reservation to end. No input or output; its owner does that.
-
 #ifndef BAOBABCOVE_AGENT_PARTTABLE_H
 #define BAOBABCOVE_AGENT_PARTTABLE_H
 
@@ -19,32 +15,32 @@
 
 namespace baobabcove {
 
-/// One part of a gang on this worker.
+/// One worker's part of one attempt of a gang.
 struct PartRecord {
   JobId Job;
-  Attempt Number;
-  Epoch By;
+  Attempt AttemptNumber;
+  Epoch CoordinatorEpoch;
   wire::GangPhase Phase = wire::RESERVED;
-  wire::ReserveRequest Need;
+  wire::ReserveRequest Reservation;
   wire::StartRequest Start;
-  /// The reservation, arming or lease holds until then.
-  Instant Until;
+  /// Expiry of the reservation (RESERVED) or of the lease (ARMED, RUNNING).
+  Instant ExpiresAt;
   Milliseconds Progress{0};
-  /// What each task was last measured to use.
+  /// Memory use of each task as last reported by the worker, in MiB.
   std::uint64_t MemoryMbPerTask = 0;
   bool MayHaveRun = false;
-  /// Whether this worker leads the gang.
-  bool Leads = false;
-  /// When the present phase began.
+  /// Whether this worker's agent is the lead of the gang.
+  bool IsLead = false;
+  /// Start of the current phase.
   Instant ChangedAt;
   bool Checkpointed = false;
-  /// A stop of the running tasks is under way and will tell how it ended.
-  bool StopUnderWay = false;
-  /// A coordinator has asked for its stop; the lead spares the other members
-  /// until then, so that they can finish their checkpoints.
-  Instant ClosingUntil;
+  /// A stop of the running tasks is in progress and will set the final phase.
+  bool StopInProgress = false;
+  /// Set when a coordinator requests a stop: until then the lead does not stop
+  /// the other members, so that they can finish their checkpoints.
+  Instant StopGraceUntil;
 
-  /// The name of this part's tasks at the worker.
+  /// Returns the id under which the worker runs this part's tasks.
   std::string taskName() const;
   bool ended() const;
   wire::GangPart toWire() const;
@@ -57,54 +53,57 @@
   std::uint64_t MemoryMb = 0;
 };
 
-/// The table of parts. Not thread-safe: its owner locks.
+/// The gang parts held by one worker and the rules for their transitions from
+/// reservation to end. Performs no I/O. Not thread-safe: the owner locks.
 class PartTable {
 public:
   PartTable(WorkerSize Size, Milliseconds Lease, const StateChart &Chart)
       : Size(Size), Lease(Lease), Chart(Chart) {}
 
-  /// Notes a coordinator's epoch. Fails with StaleEpoch when a newer one has
-  /// been heard.
-  Expected<void> admit(Epoch By);
-  Epoch highestEpoch() const { return Highest; }
-  /// Learns of a newer epoch from elsewhere.
-  void raiseEpoch(Epoch Heard);
+  /// Records the epoch of a coordinator's command. Fails with StaleEpoch when
+  /// a newer epoch is known.
+  Expected<void> checkEpoch(Epoch CoordinatorEpoch);
+  Epoch highestEpoch() const { return HighestSeen; }
+  /// Raises the highest known epoch to one learned from a heartbeat reply.
+  void observeEpoch(Epoch Observed);
 
-  /// Holds capacity for a part. A repeat is accepted. Fails with StaleEpoch
-  /// or NoCapacity.
+  /// Reserves capacity for a part. A repeated request succeeds. Fails with
+  /// StaleEpoch or NoCapacity.
   Expected<void> reserve(const wire::ReserveRequest &Request, Instant Now);
 
-  /// Arms a reserved part: it runs once its gang's lead says so. Fails with
-  /// StaleEpoch or UnknownGang.
+  /// Arms a reserved part, which then runs once the gang's lead tells it to.
+  /// Fails with StaleEpoch or UnknownGang.
   Expected<void> arm(const wire::StartRequest &Request, const NodeId &Self,
                      Instant Now);
 
-  /// Extends the lease of an armed or running part. Fails with UnknownGang
-  /// when there is none, or its lease has lapsed. No lease is extended beyond
-  /// \p Horizon.
-  Expected<PartRecord *> renew(const JobId &Job, Attempt Number, Instant Now,
-                               Instant Horizon);
+  /// Extends the lease of an armed or running part, at most to
+  /// \p LatestExpiry. Fails with UnknownGang when there is no such part or its
+  /// lease has expired.
+  Expected<PartRecord *> renew(const JobId &Job, Attempt AttemptNumber,
+                               Instant Now, Instant LatestExpiry);
 
-  /// The part of an attempt, or null.
-  PartRecord *find(const JobId &Job, Attempt Number);
+  /// Returns the part of an attempt, or null.
+  PartRecord *find(const JobId &Job, Attempt AttemptNumber);
 
-  /// Moves a part by an event of the task chart. Fails with EventNotAllowed
-  /// and counts it.
-  Expected<void> move(PartRecord &Part, const std::string &Event, Instant Now);
+  /// Applies an event of the task state chart to a part. When the chart does
+  /// not allow the event, counts it and fails with EventNotAllowed.
+  Expected<void> transition(PartRecord &Part, const std::string &Event,
+                            Instant Now);
 
-  /// Events that the chart did not allow.
+  /// Returns the number of events that the chart did not allow.
   std::uint64_t refusedEvents() const { return RefusedEvents; }
 
-  /// Drops an ended part whose end has been recorded.
-  void forget(const JobId &Job, Attempt Number);
+  /// Removes an ended part whose end has been recorded.
+  void forget(const JobId &Job, Attempt AttemptNumber);
 
-  /// Drops reservations that lapsed and ends parts whose lease lapsed;
-  /// returns the names of tasks that the worker must stop.
-  std::vector<std::string> lapse(Instant Now);
+  /// Removes reserved and armed parts that have expired and marks running
+  /// parts with an expired lease as lost. Returns the ids of the tasks that the
+  /// worker must stop.
+  std::vector<std::string> expireLeases(Instant Now);
 
-  /// Takes the worker's report into account. Tasks that the worker does not
-  /// know any more are lost. Returns whether a phase has changed.
-  bool observe(const platform::WorkerReport &Report, Instant Now);
+  /// Updates the running parts from the worker's report. Parts whose tasks the
+  /// worker does not report are lost. Returns whether a phase has changed.
+  bool applyReport(const platform::WorkerReport &Report, Instant Now);
 
   std::vector<PartRecord *> all();
   std::vector<wire::GangPart> wireParts() const;
@@ -113,13 +112,13 @@
   using Key = std::pair<JobId, std::uint64_t>;
 
   bool fits(const wire::ReserveRequest &Request) const;
-  void dropOldest();
+  void dropOldestEnded();
 
   const WorkerSize Size;
   const Milliseconds Lease;
   const StateChart &Chart;
   std::uint64_t RefusedEvents = 0;
-  Epoch Highest;
+  Epoch HighestSeen;
   std::map<Key, PartRecord> Parts;
 };
 
--- a/src/agent/WorkerClient.cpp
+++ b/src/agent/WorkerClient.cpp
@@ -4,10 +4,10 @@
 
 namespace {
 
-constexpr Milliseconds CallPatience{1000};
+constexpr Milliseconds CallTimeout{1000};
 
-std::uint64_t leaseEnd(Instant Until) {
-  return static_cast<std::uint64_t>(Until.time_since_epoch().count());
+std::uint64_t leaseEnd(Instant ExpiresAt) {
+  return static_cast<std::uint64_t>(ExpiresAt.time_since_epoch().count());
 }
 
 class HttpWorker : public WorkerClient {
@@ -16,30 +16,30 @@
 
   Expected<void> start(const platform::TaskOrder &Order) override {
     platform::TaskStatus Reply;
-    return Client.callJson("/tasks/start", Order, Reply, CallPatience);
+    return Client.callJson("/tasks/start", Order, Reply, CallTimeout);
   }
 
-  Expected<void> renew(const std::string &Id, Instant Until) override {
+  Expected<void> renew(const std::string &Id, Instant ExpiresAt) override {
     platform::TaskAction Action;
     Action.set_id(Id);
-    Action.set_lease_until_ms(leaseEnd(Until));
+    Action.set_lease_until_ms(leaseEnd(ExpiresAt));
     platform::TaskStatus Reply;
-    return Client.callJson("/tasks/renew", Action, Reply, CallPatience);
+    return Client.callJson("/tasks/renew", Action, Reply, CallTimeout);
   }
 
   Expected<void> stop(const std::string &Id) override {
     platform::TaskAction Action;
     Action.set_id(Id);
     platform::TaskStatus Reply;
-    return Client.callJson("/tasks/stop", Action, Reply, CallPatience);
+    return Client.callJson("/tasks/stop", Action, Reply, CallTimeout);
   }
 
   Expected<Milliseconds> checkpoint(const std::string &Id,
-                                    Milliseconds Patience) override {
+                                    Milliseconds Timeout) override {
     platform::TaskAction Action;
     Action.set_id(Id);
     platform::TaskStatus Reply;
-    auto Done = Client.callJson("/tasks/checkpoint", Action, Reply, Patience);
+    auto Done = Client.callJson("/tasks/checkpoint", Action, Reply, Timeout);
     if (!Done)
       return tl::unexpected<Error>(Done.error());
     return Milliseconds(Reply.progress_ms());
@@ -49,7 +49,7 @@
     HttpCall Call;
     Call.Method = "GET";
     Call.Path = "/tasks";
-    Call.Patience = CallPatience;
+    Call.Patience = CallTimeout;
     auto Answer = Client.call(Call);
     if (!Answer)
       return tl::unexpected<Error>(Answer.error());
--- a/tests/agent/OutcomeTableTest.cpp
+++ b/tests/agent/OutcomeTableTest.cpp
@@ -21,7 +21,7 @@
   return Reply;
 }
 
-constexpr Milliseconds Patience{2000};
+constexpr Milliseconds Timeout{2000};
 
 } // namespace
 
@@ -30,57 +30,57 @@
   wire::ExecuteReply Reply;
   Instant Now = monotonicNow();
 
-  OutcomeTable::Claim begin(const wire::ExecuteRequest &Request,
-                            const std::string &Digest = "d") {
-    return Table.begin(Request, Digest, monotonicNow() + Patience, Now, Reply);
+  OutcomeTable::Admission begin(const wire::ExecuteRequest &Request,
+                                const std::string &Digest = "d") {
+    return Table.begin(Request, Digest, monotonicNow() + Timeout, Now, Reply);
   }
   ResultCode code() const { return static_cast<ResultCode>(Reply.code()); }
 };
 
 TEST(OutcomeTable, RunsARequestOnceAndRepeatsItsAnswer) {
-  CHECK_TRUE(OutcomeTable::Claim::Run == begin(request("a")));
+  CHECK_TRUE(OutcomeTable::Admission::Run == begin(request("a")));
   Table.finish(request("a"), answer("x"), Now);
-  CHECK_TRUE(OutcomeTable::Claim::Known == begin(request("a")));
+  CHECK_TRUE(OutcomeTable::Admission::Replied == begin(request("a")));
   STRCMP_EQUAL("x", Reply.body().c_str());
 }
 
-TEST(OutcomeTable, WaitsForARunThatIsUnderWay) {
-  CHECK_TRUE(OutcomeTable::Claim::Run == begin(request("a")));
+TEST(OutcomeTable, WaitsForARunInProgress) {
+  CHECK_TRUE(OutcomeTable::Admission::Run == begin(request("a")));
   std::thread Runner([&] { Table.finish(request("a"), answer("x"), Now); });
-  CHECK_TRUE(OutcomeTable::Claim::Known == begin(request("a")));
+  CHECK_TRUE(OutcomeTable::Admission::Replied == begin(request("a")));
   Runner.join();
   STRCMP_EQUAL("x", Reply.body().c_str());
 }
 
-TEST(OutcomeTable, BarsARequestThatWasAskedForBeforeItCame) {
-  wire::ExecuteRequest Question = request("a");
-  Question.set_ask_only(true);
-  CHECK_TRUE(OutcomeTable::Claim::Known == begin(Question));
+TEST(OutcomeTable, WithdrawsARequestQueriedBeforeItArrives) {
+  wire::ExecuteRequest Query = request("a");
+  Query.set_ask_only(true);
+  CHECK_TRUE(OutcomeTable::Admission::Replied == begin(Query));
   CHECK_TRUE(ResultCode::Withdrawn == code());
-  CHECK_TRUE(OutcomeTable::Claim::Known == begin(request("a")));
+  CHECK_TRUE(OutcomeTable::Admission::Replied == begin(request("a")));
   CHECK_TRUE(ResultCode::Withdrawn == code());
 }
 
-TEST(OutcomeTable, RefusesAKeyThatComesWithAnotherRequest) {
-  CHECK_TRUE(OutcomeTable::Claim::Run == begin(request("a"), "d1"));
+TEST(OutcomeTable, RefusesAKeyUsedForADifferentRequest) {
+  CHECK_TRUE(OutcomeTable::Admission::Run == begin(request("a"), "d1"));
   Table.finish(request("a"), answer("x"), Now);
-  CHECK_TRUE(OutcomeTable::Claim::Known == begin(request("a"), "d2"));
+  CHECK_TRUE(OutcomeTable::Admission::Replied == begin(request("a"), "d2"));
   CHECK_TRUE(ResultCode::KeyReused == code());
 }
 
-TEST(OutcomeTable, RefusesNewRequestsWhenFullAndForgetsOnlyOldOnes) {
+TEST(OutcomeTable, RefusesNewRequestsWhenFullAndDropsOnlyOldEntries) {
   for (const char *Id : {"a", "b", "c", "d"}) {
-    CHECK_TRUE(OutcomeTable::Claim::Run == begin(request(Id)));
+    CHECK_TRUE(OutcomeTable::Admission::Run == begin(request(Id)));
     Table.finish(request(Id), answer(Id), Now);
   }
-  CHECK_TRUE(OutcomeTable::Claim::Known == begin(request("e")));
+  CHECK_TRUE(OutcomeTable::Admission::Replied == begin(request("e")));
   CHECK_TRUE(ResultCode::OutcomeTableFull == code());
   Now += (OutcomeTable::KeptPeriods + 1) * OutcomeTable::Period;
-  CHECK_TRUE(OutcomeTable::Claim::Run == begin(request("e")));
+  CHECK_TRUE(OutcomeTable::Admission::Run == begin(request("e")));
 }
 
-TEST(OutcomeTable, TakesARequestAgainThatDidNotRun) {
-  CHECK_TRUE(OutcomeTable::Claim::Run == begin(request("a")));
+TEST(OutcomeTable, AcceptsARequestAgainAfterItDidNotRun) {
+  CHECK_TRUE(OutcomeTable::Admission::Run == begin(request("a")));
   Table.abandon(request("a"));
-  CHECK_TRUE(OutcomeTable::Claim::Run == begin(request("a")));
+  CHECK_TRUE(OutcomeTable::Admission::Run == begin(request("a")));
 }
