--- a/src/agent/AgentProcess.cpp
+++ b/src/agent/AgentProcess.cpp
@@ -80,8 +80,8 @@
         std::make_unique<MinionController>(Options, Charts, Incarnation, Stats);
   else
     Worker = std::make_unique<WorkerController>(
-        Options, Charts, makeHttpWorker(Options.TargetAddress), Peers, Stats,
-        [this] { Heartbeats->nudge(); });
+        Options, Charts, makeHttpWorkerClient(Options.TargetAddress), Peers,
+        Stats, [this] { Heartbeats->nudge(); });
   auto Served = serveRpc(Options.RpcAddress, nullptr, this);
   if (!Served)
     return tl::unexpected<Error>(Served.error());
@@ -166,7 +166,7 @@
   }
   if (Request.Path != "/v1/state")
     return refusal(ResultCode::UnknownPath, "No resource exists at this path.");
-  const auto Sender = identifyOperator(Request, *ActiveConfig.current());
+  const auto Sender = authenticateOperator(Request, *ActiveConfig.current());
   if (!Sender)
     return refusal(Sender.error());
   HttpResponse Response;
--- a/src/agent/WorkerClient.cpp
+++ b/src/agent/WorkerClient.cpp
@@ -6,13 +6,13 @@
 
 constexpr Milliseconds CallTimeout{1000};
 
-std::uint64_t leaseEnd(Instant ExpiresAt) {
+std::uint64_t monotonicMs(Instant ExpiresAt) {
   return static_cast<std::uint64_t>(ExpiresAt.time_since_epoch().count());
 }
 
-class HttpWorker : public WorkerClient {
+class HttpWorkerClient : public WorkerClient {
 public:
-  explicit HttpWorker(const std::string &Address) : Client(Address) {}
+  explicit HttpWorkerClient(const std::string &Address) : Client(Address) {}
 
   Expected<void> start(const platform::TaskOrder &Order) override {
     platform::TaskStatus Reply;
@@ -22,7 +22,7 @@
   Expected<void> renew(const std::string &Id, Instant ExpiresAt) override {
     platform::TaskAction Action;
     Action.set_id(Id);
-    Action.set_lease_until_ms(leaseEnd(ExpiresAt));
+    Action.set_lease_until_ms(monotonicMs(ExpiresAt));
     platform::TaskStatus Reply;
     return Client.callJson("/tasks/renew", Action, Reply, CallTimeout);
   }
@@ -65,8 +65,8 @@
 
 } // namespace
 
-std::unique_ptr<WorkerClient> makeHttpWorker(const std::string &Address) {
-  return std::make_unique<HttpWorker>(Address);
+std::unique_ptr<WorkerClient> makeHttpWorkerClient(const std::string &Address) {
+  return std::make_unique<HttpWorkerClient>(Address);
 }
 
 } // namespace baobabcove
--- a/src/agent/WorkerClient.h
+++ b/src/agent/WorkerClient.h
@@ -22,7 +22,7 @@
 };
 
 /// Creates a client of the worker's HTTP interface at \p Address ("ip:port").
-std::unique_ptr<WorkerClient> makeHttpWorker(const std::string &Address);
+std::unique_ptr<WorkerClient> makeHttpWorkerClient(const std::string &Address);
 
 } // namespace baobabcove
 
--- a/src/entry/ConfigurationApi.cpp
+++ b/src/entry/ConfigurationApi.cpp
@@ -18,19 +18,19 @@
 constexpr int MaxHistory = 50;
 constexpr const char *BootstrapOperator = "bootstrap";
 
-/// The refusal that lists every fault of the files.
-HttpResponse faultReport(const ConfigurationReport &Report) {
+/// Returns an error response that lists every fault of the files.
+HttpResponse faultResponse(const ConfigurationReport &Report) {
   std::string Detail;
   for (const ConfigurationFault &Fault : Report.Faults)
     Detail += (Detail.empty() ? "" : "\n") + Fault.str();
   return refusal(ResultCode::ConfigurationInvalid, Detail);
 }
 
-/// Who changed what since the version that a change began from.
-std::string newerChanges(const wire::ConfigurationBundle &Present,
+/// Lists the changes after version \p Base: their operators and files.
+std::string newerChanges(const wire::ConfigurationBundle &Current,
                          std::uint64_t Base) {
   std::string Text;
-  for (const auto &Change : Present.history()) {
+  for (const auto &Change : Current.history()) {
     if (Change.version() <= Base)
       continue;
     Text += (Text.empty() ? "" : "; ") + std::string("version ") +
@@ -47,26 +47,28 @@
 std::string configurationKey() { return "config/bundle"; }
 
 HttpResponse ConfigurationApi::show(const HttpRequest &Request) {
-  const auto Sender = identifyOperator(Request, *Context.Keeper.current());
+  const auto Sender =
+      authenticateOperator(Request, *Context.ActiveConfig.current());
   if (!Sender)
     return refusal(Sender.error());
   HttpResponse Response;
-  Response.Body = toJson(Context.Keeper.bundle());
+  Response.Body = toJson(Context.ActiveConfig.bundle());
   return Response;
 }
 
 Expected<Identity>
-ConfigurationApi::identifyApplier(const HttpRequest &Request) const {
-  const auto Present = Context.Keeper.current();
-  if (Context.Keeper.version() != ConfigurationVersion())
-    return identifyOperator(Request, *Present);
-  Configuration First;
-  First.Operators[BootstrapOperator].TokenDigest = Context.Of.BootstrapDigest;
-  return identifyOperator(Request, First);
+ConfigurationApi::authenticateApplier(const HttpRequest &Request) const {
+  const auto Current = Context.ActiveConfig.current();
+  if (Context.ActiveConfig.version() != ConfigurationVersion())
+    return authenticateOperator(Request, *Current);
+  Configuration Bootstrap;
+  Bootstrap.Operators[BootstrapOperator].TokenDigest =
+      Context.Options.BootstrapDigest;
+  return authenticateOperator(Request, Bootstrap);
 }
 
 Expected<void>
-ConfigurationApi::checkWhole(const ConfigurationReport &Report) const {
+ConfigurationApi::checkGuarantees(const ConfigurationReport &Report) const {
   const std::vector<WorkerInfo> Workers = knownWorkers(Context);
   if (Workers.empty())
     return {};
@@ -81,60 +83,61 @@
 }
 
 wire::ConfigurationBundle
-ConfigurationApi::nextBundle(const wire::ConfigurationBundle &Present,
+ConfigurationApi::nextBundle(const wire::ConfigurationBundle &Current,
                              const wire::ApplyRequest &Change,
                              const std::string &Operator) {
   wire::ConfigurationBundle Next;
-  Next.set_version(Present.version() + 1);
+  Next.set_version(Current.version() + 1);
   *Next.mutable_files() = Change.files();
-  const int Dropped = std::max(0, Present.history_size() + 1 - MaxHistory);
-  for (int I = Dropped; I < Present.history_size(); ++I)
-    *Next.add_history() = Present.history(I);
+  const int Dropped = std::max(0, Current.history_size() + 1 - MaxHistory);
+  for (int I = Dropped; I < Current.history_size(); ++I)
+    *Next.add_history() = Current.history(I);
   wire::ConfigurationChange &Entry = *Next.add_history();
   Entry.set_version(Next.version());
   Entry.set_change_id(Change.change_id());
   Entry.set_operator_(Operator);
   Entry.set_accepted_at_ms(wallClockMs());
-  for (const std::string &Name : changedFiles(Present, Next))
+  for (const std::string &Name : changedFiles(Current, Next))
     Entry.add_changed_files(Name);
   return Next;
 }
 
-/// After a write whose answer was lost, the store tells whether it took effect.
+/// Reads the configuration back to find out whether a write whose answer was
+/// lost took effect.
 Expected<wire::ConfigurationBundle>
 ConfigurationApi::readBack(const wire::ApplyRequest &Change) {
-  const auto Stored = Context.Platform.read(configurationKey());
-  wire::ConfigurationBundle Present;
-  if (!Stored || !Present.ParseFromString(Stored->Value))
+  const auto Stored = Context.StoreClient.read(configurationKey());
+  wire::ConfigurationBundle Current;
+  if (!Stored || !Current.ParseFromString(Stored->Value))
     return failure(ResultCode::StoreAnswerLost,
-                   "The store did not say whether the change was kept.");
-  for (const auto &Entry : Present.history())
+                   "The store did not confirm whether the change was written.");
+  for (const auto &Entry : Current.history())
     if (Entry.change_id() == Change.change_id())
-      return Present;
+      return Current;
   return failure(ResultCode::ConfigurationConflict,
-                 newerChanges(Present, Change.base_version()));
+                 newerChanges(Current, Change.base_version()));
 }
 
 Expected<wire::ConfigurationBundle>
-ConfigurationApi::accept(const wire::ApplyRequest &Change,
-                         const std::string &Operator) {
-  const auto Stored = Context.Platform.read(configurationKey());
+ConfigurationApi::commitChange(const wire::ApplyRequest &Change,
+                               const std::string &Operator) {
+  const auto Stored = Context.StoreClient.read(configurationKey());
   if (!Stored)
     return tl::unexpected<Error>(Stored.error());
-  wire::ConfigurationBundle Present;
-  if (!Present.ParseFromString(Stored->Value))
+  wire::ConfigurationBundle Current;
+  if (!Current.ParseFromString(Stored->Value))
     return failure(ResultCode::StoreUnavailable,
-                   "The stored configuration is unreadable.");
-  for (const auto &Entry : Present.history())
+                   "The stored configuration cannot be parsed.");
+  for (const auto &Entry : Current.history())
     if (Entry.change_id() == Change.change_id())
-      return Present;
-  if (Present.version() != Change.base_version())
+      return Current;
+  if (Current.version() != Change.base_version())
     return failure(ResultCode::ConfigurationConflict,
-                   "The change began from version " +
+                   "The change is based on version " +
                        std::to_string(Change.base_version()) + ", but " +
-                       newerChanges(Present, Change.base_version()) + ".");
-  const wire::ConfigurationBundle Next = nextBundle(Present, Change, Operator);
-  const auto Written = Context.Platform.swap(
+                       newerChanges(Current, Change.base_version()) + ".");
+  const wire::ConfigurationBundle Next = nextBundle(Current, Change, Operator);
+  const auto Written = Context.StoreClient.swap(
       configurationKey(), Stored->Revision, Next.SerializeAsString(), 0);
   if (Written)
     return Next;
@@ -144,7 +147,7 @@
 }
 
 HttpResponse ConfigurationApi::apply(const HttpRequest &Request) {
-  const auto Sender = identifyApplier(Request);
+  const auto Sender = authenticateApplier(Request);
   if (!Sender)
     return refusal(Sender.error());
   wire::ApplyRequest Change;
@@ -154,19 +157,19 @@
   *Candidate.mutable_files() = Change.files();
   const ConfigurationReport Report = readConfiguration(Candidate);
   if (!Report.Faults.empty())
-    return faultReport(Report);
-  if (auto Whole = checkWhole(Report); !Whole)
-    return refusal(Whole.error());
+    return faultResponse(Report);
+  if (auto Packable = checkGuarantees(Report); !Packable)
+    return refusal(Packable.error());
   auto Body = makeDump();
   if (Request.query("check_only") == "true") {
     Body->set("valid", true);
   } else {
     if (Change.change_id().empty())
       Change.set_change_id(randomName());
-    const auto Accepted = accept(Change, Sender->Operator);
+    const auto Accepted = commitChange(Change, Sender->Operator);
     if (!Accepted)
       return refusal(Accepted.error());
-    Context.Keeper.offer(*Accepted);
+    Context.ActiveConfig.offer(*Accepted);
     Body->set("version", Accepted->version());
     LOG4CPLUS_INFO(logOf("config"), "Accepted version "
                                         << Accepted->version() << " from "
@@ -178,13 +181,13 @@
 }
 
 HttpResponse ConfigurationApi::workspaces(const HttpRequest &Request) {
-  const auto Present = Context.Keeper.current();
-  const auto Sender = identify(Request, *Present);
+  const auto Current = Context.ActiveConfig.current();
+  const auto Sender = authenticate(Request, *Current);
   if (!Sender)
     return refusal(Sender.error());
   Poco::JSON::Array::Ptr Rows = new Poco::JSON::Array;
-  for (const auto &[Name, Workspace] : Present->Workspaces) {
-    if (!Sender->maySee(Name))
+  for (const auto &[Name, Workspace] : Current->Workspaces) {
+    if (!Sender->mayAccess(Name))
       continue;
     std::uint64_t Guaranteed = 0;
     for (const GuaranteeShape &Shape : Workspace.Guarantee)
@@ -194,7 +197,7 @@
     Row->set("guaranteed_accelerators", Guaranteed);
     Row->set("max_requests", Workspace.MaxRequests);
     Row->set("max_queued_jobs", Workspace.MaxQueuedJobs);
-    Row->set("open_jobs", Context.Book.openJobs(WorkspaceId(Name)));
+    Row->set("open_jobs", Context.JobRecords.openJobs(WorkspaceId(Name)));
     Rows->add(Row);
   }
   auto Body = makeDump();
--- a/src/entry/ConfigurationApi.h
+++ b/src/entry/ConfigurationApi.h
@@ -1,6 +1,3 @@
-/// \file
-/// Operators' changes of the configuration over HTTP.
-
 #ifndef BAOBABCOVE_ENTRY_CONFIGURATIONAPI_H
 #define BAOBABCOVE_ENTRY_CONFIGURATIONAPI_H
 
@@ -8,30 +5,30 @@
 
 namespace baobabcove {
 
-/// The store's key of the configuration in force.
+/// Returns the store key of the active configuration.
 std::string configurationKey();
 
-/// Shows, checks and applies configurations.
+/// HTTP handlers for operators that show, check and apply configurations.
 class ConfigurationApi {
 public:
   explicit ConfigurationApi(EntryContext &Context) : Context(Context) {}
 
   /// GET /v1/configuration
   HttpResponse show(const HttpRequest &Request);
-  /// POST /v1/configuration, with ?check_only=true without effect
+  /// POST /v1/configuration; ?check_only=true only validates
   HttpResponse apply(const HttpRequest &Request);
   /// GET /v1/workspaces
   HttpResponse workspaces(const HttpRequest &Request);
 
 private:
-  Expected<Identity> identifyApplier(const HttpRequest &Request) const;
-  Expected<void> checkWhole(const ConfigurationReport &Report) const;
-  Expected<wire::ConfigurationBundle> accept(const wire::ApplyRequest &Change,
-                                             const std::string &Operator);
+  Expected<Identity> authenticateApplier(const HttpRequest &Request) const;
+  Expected<void> checkGuarantees(const ConfigurationReport &Report) const;
+  Expected<wire::ConfigurationBundle>
+  commitChange(const wire::ApplyRequest &Change, const std::string &Operator);
   Expected<wire::ConfigurationBundle>
   readBack(const wire::ApplyRequest &Change);
   static wire::ConfigurationBundle
-  nextBundle(const wire::ConfigurationBundle &Present,
+  nextBundle(const wire::ConfigurationBundle &Current,
              const wire::ApplyRequest &Change, const std::string &Operator);
 
   EntryContext &Context;
--- a/src/entry/EntryContext.h
+++ b/src/entry/EntryContext.h
@@ -1,6 +1,3 @@
-/// \file
-/// What the parts of an entry share.
-
 #ifndef BAOBABCOVE_ENTRY_ENTRYCONTEXT_H
 #define BAOBABCOVE_ENTRY_ENTRYCONTEXT_H
 
@@ -16,17 +13,17 @@
 
 namespace baobabcove {
 
-/// References to the parts that the entry's HTTP interface works with.
+/// References to the components that the entry's HTTP handlers use.
 struct EntryContext {
-  const Settings &Of;
+  const Settings &Options;
   std::uint64_t Incarnation;
-  Metrics &Figures;
-  Store &Platform;
+  Metrics &Stats;
+  Store &StoreClient;
   RpcPeers &Peers;
-  Members &Known;
-  ConfigurationKeeper &Keeper;
-  JobBook &Book;
-  Router &Routes;
+  Members &Membership;
+  ConfigurationKeeper &ActiveConfig;
+  JobBook &JobRecords;
+  Router &RequestRouter;
 };
 
 } // namespace baobabcove
--- a/src/entry/EntryProcess.cpp
+++ b/src/entry/EntryProcess.cpp
@@ -11,146 +11,153 @@
 namespace {
 
 constexpr Milliseconds HousekeepingPeriod{100};
-constexpr Milliseconds WatchPause{300};
-constexpr Milliseconds ConfigurationPatience{2000};
-constexpr Milliseconds ConfigurationLook{5};
-constexpr Milliseconds DrainCallPatience{1000};
-/// Members silent for this long are forgotten.
-constexpr Milliseconds MemberMemory{600000};
-/// An age that says "never".
-constexpr Milliseconds NeverSeen{365LL * 24 * 3600 * 1000};
-
-HttpLimits limitsOf(const Settings &Of) {
+constexpr Milliseconds WatchRetryDelay{300};
+constexpr Milliseconds ConfigurationTimeout{2000};
+constexpr Milliseconds ConfigurationPollPeriod{5};
+constexpr Milliseconds DrainCallTimeout{1000};
+/// Members without a heartbeat for this long are removed.
+constexpr Milliseconds MemberRetention{600000};
+/// Age reported when there was never contact with the coordinator.
+constexpr Milliseconds NeverSeenAge{365LL * 24 * 3600 * 1000};
+
+HttpLimits limitsOf(const Settings &Options) {
   HttpLimits Limits;
-  Limits.Threads = Of.HttpThreads;
-  Limits.Connections = Of.MaxConnections;
-  Limits.Arrival = Milliseconds(Of.HeaderTimeoutMs);
+  Limits.Threads = Options.HttpThreads;
+  Limits.Connections = Options.MaxConnections;
+  Limits.ReceiveTimeout = Milliseconds(Options.HeaderTimeoutMs);
   return Limits;
 }
 
-HttpResponse jsonAnswer(const Poco::JSON::Object::Ptr &Body) {
+HttpResponse jsonResponse(const Poco::JSON::Object::Ptr &Body) {
   HttpResponse Response;
   Response.Body = dumpText(Body);
   return Response;
 }
 
-/// Matches a path against a pattern with at most one "*" part.
+/// Matches a path against a pattern with at most one "*" segment and stores the
+/// text that "*" matches in \p Segment.
 bool matches(const std::string &Path, const std::string &Pattern,
-             std::string &Part) {
-  const std::size_t Star = Pattern.find('*');
-  if (Star == std::string::npos)
+             std::string &Segment) {
+  const std::size_t Wildcard = Pattern.find('*');
+  if (Wildcard == std::string::npos)
     return Path == Pattern;
-  const std::string Tail = Pattern.substr(Star + 1);
-  if (Path.size() <= Star + Tail.size() ||
-      Path.compare(0, Star, Pattern, 0, Star) != 0 ||
+  const std::string Tail = Pattern.substr(Wildcard + 1);
+  if (Path.size() <= Wildcard + Tail.size() ||
+      Path.compare(0, Wildcard, Pattern, 0, Wildcard) != 0 ||
       Path.compare(Path.size() - Tail.size(), Tail.size(), Tail) != 0)
     return false;
-  Part = Path.substr(Star, Path.size() - Star - Tail.size());
-  return Part.find('/') == std::string::npos;
+  Segment = Path.substr(Wildcard, Path.size() - Wildcard - Tail.size());
+  return Segment.find('/') == std::string::npos;
 }
 
 } // namespace
 
-EntryProcess::EntryProcess(const Settings &Of, StateCharts Charts)
-    : Of(Of), Charts(std::move(Charts)),
+EntryProcess::EntryProcess(const Settings &Options, StateCharts Charts)
+    : Options(Options), Charts(std::move(Charts)),
       Incarnation(static_cast<std::uint64_t>(wallClockMs())),
-      Platform(makeHttpStore(Of.StoreAddress)),
-      WatchPlatform(makeHttpStore(Of.StoreAddress)),
-      Claims(*Platform, std::chrono::seconds(Of.ClaimTtlS)),
-      Routes(this->Of, Known, Peers, Claims, Figures),
-      Book(*Platform, Of.Cell), Context{this->Of,  Incarnation, Figures,
-                                        *Platform, Peers,       Known,
-                                        Keeper,    Book,        Routes},
+      StoreClient(makeHttpStore(Options.StoreAddress)),
+      WatchStoreClient(makeHttpStore(Options.StoreAddress)),
+      Claims(*StoreClient, std::chrono::seconds(Options.ClaimTtlS)),
+      RequestRouter(this->Options, Membership, Peers, Claims, Stats),
+      JobRecords(*StoreClient, Options.Cell),
+      Context{this->Options, Incarnation,  Stats,      *StoreClient, Peers,
+              Membership,    ActiveConfig, JobRecords, RequestRouter},
       Requests(Context), Jobs(Context), Configurations(Context) {}
 
 EntryProcess::~EntryProcess() {
   Stopping = true;
-  if (Housekeeping.joinable())
-    Housekeeping.join();
-  if (ConfigurationWatch.joinable())
-    ConfigurationWatch.join();
+  if (HousekeepingThread.joinable())
+    HousekeepingThread.join();
+  if (ConfigurationWatchThread.joinable())
+    ConfigurationWatchThread.join();
 }
 
 Expected<void> EntryProcess::start() {
-  Coordinating = std::make_unique<Coordinator>(Of, Charts.Job, *Platform, Peers,
-                                               Book, Known, Keeper, Figures);
-  Announcing = std::make_unique<Announcer>(
-      Peers, Keeper, Milliseconds(Of.HeartbeatMs), [this] { return ownBeat(); },
+  CellCoordinator = std::make_unique<Coordinator>(
+      Options, Charts.Job, *StoreClient, Peers, JobRecords, Membership,
+      ActiveConfig, Stats);
+  Heartbeats = std::make_unique<Announcer>(
+      Peers, ActiveConfig, Milliseconds(Options.HeartbeatMs),
+      [this] { return buildHeartbeat(); },
       [this](const wire::HeartbeatReply &Reply, Instant SentAt) {
-        onReply(Reply, SentAt);
+        onHeartbeatReply(Reply, SentAt);
       });
-  Keeper.listen([this](const Configuration &) {
-    Coordinating->configurationChanged();
-    Announcing->nudge();
+  ActiveConfig.listen([this](const Configuration &) {
+    CellCoordinator->configurationChanged();
+    Heartbeats->nudge();
   });
   Role = std::make_unique<RoleKeeper>(
-      Of, Incarnation, *Platform,
-      [this](Epoch Held) { Coordinating->roleChanged(Held); });
-  auto Calls = serveRpc(Of.RpcAddress, this, nullptr);
-  if (!Calls)
-    return tl::unexpected<Error>(Calls.error());
-  Rpc = std::move(*Calls);
-  ConfigurationWatch = std::thread([this] { watchConfiguration(); });
-  // Callers are served once their tokens are known, or the store is down.
-  const Instant GiveUp = monotonicNow() + ConfigurationPatience;
-  while (!ConfigurationRead && monotonicNow() < GiveUp)
-    std::this_thread::sleep_for(ConfigurationLook);
-  auto Served =
-      serveHttp(Of.HttpAddress, limitsOf(Of),
-                [this](const HttpRequest &Request) { return onHttp(Request); });
+      Options, Incarnation, *StoreClient,
+      [this](Epoch Held) { CellCoordinator->roleChanged(Held); });
+  auto Server = serveRpc(Options.RpcAddress, this, nullptr);
+  if (!Server)
+    return tl::unexpected<Error>(Server.error());
+  Rpc = std::move(*Server);
+  ConfigurationWatchThread = std::thread([this] { watchConfiguration(); });
+  // Wait for the configuration, which holds the callers' tokens; serve without
+  // it after the timeout if the store is unavailable.
+  const Instant Deadline = monotonicNow() + ConfigurationTimeout;
+  while (!ConfigurationRead && monotonicNow() < Deadline)
+    std::this_thread::sleep_for(ConfigurationPollPeriod);
+  auto Served = serveHttp(
+      Options.HttpAddress, limitsOf(Options),
+      [this](const HttpRequest &Request) { return handleHttp(Request); });
   if (!Served)
     return tl::unexpected<Error>(Served.error());
   Http = std::move(*Served);
-  Book.start([this](const StoredJob &Job) { Coordinating->jobChanged(Job); });
-  Housekeeping = std::thread([this] { housekeepingLoop(); });
+  JobRecords.start(
+      [this](const StoredJob &Job) { CellCoordinator->jobChanged(Job); });
+  HousekeepingThread = std::thread([this] { housekeepingLoop(); });
   Role->start(Rpc->address());
-  for (const std::string &Address : Of.EntryAddresses)
+  for (const std::string &Address : Options.EntryAddresses)
     if (Address != Rpc->address())
-      Announcing->add(Address, true);
+      Heartbeats->add(Address, true);
   LOG4CPLUS_INFO(logOf("entry"), "Serving at " << Http->address() << ".");
   return {};
 }
 
-void EntryProcess::stop(Milliseconds Patience) {
-  LOG4CPLUS_INFO(logOf("entry"), "Graceful shutdown begins.");
+void EntryProcess::stop(Milliseconds Timeout) {
+  LOG4CPLUS_INFO(logOf("entry"), "Graceful shutdown started.");
   Draining = true;
-  Announcing->nudge();
-  // The balancer sees the unready answer and sends no new connections.
-  std::this_thread::sleep_for(Milliseconds(Of.LameDuckMs));
-  if (!Http->drain(Patience))
-    LOG4CPLUS_WARN(logOf("entry"), "Stopping although requests still run.");
+  Heartbeats->nudge();
+  // Time for the load balancer to see the failing readiness check and stop
+  // sending new connections.
+  std::this_thread::sleep_for(Milliseconds(Options.LameDuckMs));
+  if (!Http->drain(Timeout))
+    LOG4CPLUS_WARN(logOf("entry"),
+                   "Stopping while requests are still running.");
   Role->resign();
-  Rpc->shutdown(DrainCallPatience);
+  Rpc->shutdown(DrainCallTimeout);
   Leaving = true;
-  Announcing->stop();
-  const auto Mine = Platform->read(registryKey());
-  if (Mine && Mine->Revision != 0)
-    (void)Platform->remove(registryKey(), Mine->Revision);
-  LOG4CPLUS_INFO(logOf("entry"), "Graceful shutdown is done.");
+  Heartbeats->stop();
+  const auto OwnRecord = StoreClient->read(entryKey());
+  if (OwnRecord && OwnRecord->Revision != 0)
+    (void)StoreClient->remove(entryKey(), OwnRecord->Revision);
+  LOG4CPLUS_INFO(logOf("entry"), "Graceful shutdown completed.");
 }
 
-std::string EntryProcess::peerAddress() const {
-  return Of.AdvertisedRpcAddress.empty() ? Rpc->address()
-                                         : Of.AdvertisedRpcAddress;
+std::string EntryProcess::advertisedAddress() const {
+  return Options.AdvertisedRpcAddress.empty() ? Rpc->address()
+                                              : Options.AdvertisedRpcAddress;
 }
 
-std::string EntryProcess::registryKey() const {
-  return "entries/" + Of.Cell + "/" + Of.Node;
+std::string EntryProcess::entryKey() const {
+  return "entries/" + Options.Cell + "/" + Options.Node;
 }
 
-/// Before its record is kept, no later coordinator would know that this entry
-/// may vouch for workers.
+/// Writes this entry's record to the store. Without the record a later
+/// coordinator does not know that this entry may confirm workers as alive.
 bool EntryProcess::registerEntry() {
-  const auto Present = Platform->read(registryKey());
-  if (!Present)
+  const auto Stored = StoreClient->read(entryKey());
+  if (!Stored)
     return false;
-  wire::EntryRecord Mine;
-  Mine.set_node(Of.Node);
-  Mine.set_incarnation(Incarnation);
-  Mine.set_rpc_address(peerAddress());
-  return Present->Value == Mine.SerializeAsString() ||
-         Platform
-             ->swap(registryKey(), Present->Revision, Mine.SerializeAsString(),
+  wire::EntryRecord OwnRecord;
+  OwnRecord.set_node(Options.Node);
+  OwnRecord.set_incarnation(Incarnation);
+  OwnRecord.set_rpc_address(advertisedAddress());
+  return Stored->Value == OwnRecord.SerializeAsString() ||
+         StoreClient
+             ->swap(entryKey(), Stored->Revision, OwnRecord.SerializeAsString(),
                     0)
              .has_value();
 }
@@ -159,11 +166,12 @@
   while (!Stopping) {
     if (!Registered)
       Registered = registerEntry();
-    Routes.pool().membersChanged();
-    Known.forgetSilent(MemberMemory, monotonicNow());
-    for (const auto &Entry : Known.alive(
-             wire::ENTRY, Milliseconds(Of.MinionSilenceMs), monotonicNow()))
-      Announcing->add(Entry.Beat.rpc_address(), false);
+    RequestRouter.pool().membersChanged();
+    Membership.forgetSilent(MemberRetention, monotonicNow());
+    for (const auto &Entry :
+         Membership.alive(wire::ENTRY, Milliseconds(Options.MinionSilenceMs),
+                          monotonicNow()))
+      Heartbeats->add(Entry.Beat.rpc_address(), false);
     std::this_thread::sleep_for(HousekeepingPeriod);
   }
 }
@@ -172,80 +180,81 @@
   const auto Offer = [this](const StoreEntry &Entry) {
     wire::ConfigurationBundle Bundle;
     if (Entry.Revision != 0 && Bundle.ParseFromString(Entry.Value))
-      Keeper.offer(Bundle);
+      ActiveConfig.offer(Bundle);
   };
   while (!Stopping) {
-    const auto Snapshot = WatchPlatform->list("config/");
+    const auto Snapshot = WatchStoreClient->list("config/");
     if (Snapshot) {
       for (const StoreEntry &Entry : Snapshot->Entries)
         Offer(Entry);
       ConfigurationRead = true;
-      (void)WatchPlatform->watch("config/", Snapshot->Revision, Offer,
-                                 Stopping);
+      (void)WatchStoreClient->watch("config/", Snapshot->Revision, Offer,
+                                    Stopping);
     }
     if (!Stopping)
-      std::this_thread::sleep_for(WatchPause);
+      std::this_thread::sleep_for(WatchRetryDelay);
   }
 }
 
-wire::Heartbeat EntryProcess::ownBeat() const {
-  wire::Heartbeat Beat;
-  Beat.set_node(Of.Node);
-  Beat.set_incarnation(Incarnation);
-  Beat.set_kind(wire::ENTRY);
-  Beat.set_rpc_address(peerAddress());
-  Beat.set_http_address(Http->address());
-  Beat.mutable_location()->set_place(Of.Place);
-  Beat.mutable_location()->set_data_centre(Of.DataCentre);
-  Beat.set_configuration_version(Keeper.version().value());
-  Beat.set_draining(Draining);
-  Beat.set_leaving(Leaving);
+wire::Heartbeat EntryProcess::buildHeartbeat() const {
+  wire::Heartbeat Message;
+  Message.set_node(Options.Node);
+  Message.set_incarnation(Incarnation);
+  Message.set_kind(wire::ENTRY);
+  Message.set_rpc_address(advertisedAddress());
+  Message.set_http_address(Http->address());
+  Message.mutable_location()->set_place(Options.Place);
+  Message.mutable_location()->set_data_centre(Options.DataCentre);
+  Message.set_configuration_version(ActiveConfig.version().value());
+  Message.set_draining(Draining);
+  Message.set_leaving(Leaving);
   const Instant Now = monotonicNow();
-  for (const auto &Each :
-       Known.alive(wire::WORKER, Milliseconds(Of.WorkerSilenceMs), Now)) {
-    wire::HeardWorker &Heard = *Beat.add_heard_workers();
-    Heard.set_node(Each.Beat.node());
-    Heard.set_incarnation(Each.Beat.incarnation());
-    Heard.set_age_ms(static_cast<std::uint64_t>((Now - Each.HeardAt).count()));
+  for (const auto &Each : Membership.alive(
+           wire::WORKER, Milliseconds(Options.WorkerSilenceMs), Now)) {
+    wire::HeardWorker &Worker = *Message.add_heard_workers();
+    Worker.set_node(Each.Beat.node());
+    Worker.set_incarnation(Each.Beat.incarnation());
+    Worker.set_age_ms(static_cast<std::uint64_t>((Now - Each.HeardAt).count()));
   }
-  return Beat;
+  return Message;
 }
 
-Milliseconds EntryProcess::coordinatorAge(Instant Now) const {
+Milliseconds EntryProcess::coordinatorContactAge(Instant Now) const {
   if (!Registered)
-    return NeverSeen;
+    return NeverSeenAge;
   if (Role->held() != Epoch())
     return Now - Role->confirmedAt();
-  return Now - CoordinatorSeenAt.load();
+  return Now - CoordinatorContactAt.load();
 }
 
-void EntryProcess::onReply(const wire::HeartbeatReply &Reply, Instant SentAt) {
+void EntryProcess::onHeartbeatReply(const wire::HeartbeatReply &Reply,
+                                    Instant SentAt) {
   HighestEpoch = std::max(HighestEpoch.load(), Reply.coordinator_epoch());
   if (!Reply.is_coordinator())
     return;
   const Instant Seen = SentAt - Milliseconds(Reply.coordinator_age_ms());
-  CoordinatorSeenAt = std::max(CoordinatorSeenAt.load(), Seen);
+  CoordinatorContactAt = std::max(CoordinatorContactAt.load(), Seen);
 }
 
-wire::HeartbeatReply EntryProcess::beat(const wire::Heartbeat &Beat) {
+wire::HeartbeatReply EntryProcess::heartbeat(const wire::Heartbeat &Message) {
   const Instant Now = monotonicNow();
-  if (Beat.leaving())
-    Known.remove(NodeId(Beat.node()));
+  if (Message.leaving())
+    Membership.remove(NodeId(Message.node()));
   else
-    Known.hear(Beat, Now);
-  Coordinating->memberHeard(Beat);
+    Membership.hear(Message, Now);
+  CellCoordinator->memberHeard(Message);
   wire::HeartbeatReply Reply;
-  Reply.set_configuration_version(Keeper.version().value());
-  if (Beat.configuration_version() < Keeper.version().value())
-    *Reply.mutable_configuration() = Keeper.bundle();
+  Reply.set_configuration_version(ActiveConfig.version().value());
+  if (Message.configuration_version() < ActiveConfig.version().value())
+    *Reply.mutable_configuration() = ActiveConfig.bundle();
   Reply.set_is_coordinator(Role->held() != Epoch());
   Reply.set_coordinator_age_ms(
-      static_cast<std::uint64_t>(coordinatorAge(Now).count()));
+      static_cast<std::uint64_t>(coordinatorContactAge(Now).count()));
   Reply.set_coordinator_epoch(std::max(
       {HighestEpoch.load(), Role->held().value(), Role->highest().value()}));
-  for (const auto &Each :
-       Known.alive(wire::ENTRY, Milliseconds(Of.MinionSilenceMs), Now)) {
-    if (Each.Beat.node() == Beat.node())
+  for (const auto &Each : Membership.alive(
+           wire::ENTRY, Milliseconds(Options.MinionSilenceMs), Now)) {
+    if (Each.Beat.node() == Message.node())
       continue;
     wire::PeerAddress &Entry = *Reply.add_entries();
     Entry.set_node(Each.Beat.node());
@@ -263,7 +272,7 @@
       {"POST", "/v1/members/*/drain", &E::drainMember},
       {"DELETE", "/v1/members/*/drain", &E::undrainMember},
       {"POST", "/v1/services/*/requests", &E::sendRequest},
-      {"POST", "/v1/services/*/tickets", &E::takeTicket},
+      {"POST", "/v1/services/*/tickets", &E::issueTicket},
       {"POST", "/v1/jobs", &E::submitJob},
       {"GET", "/v1/jobs", &E::listJobs},
       {"GET", "/v1/jobs/*", &E::showJob},
@@ -275,27 +284,27 @@
   return Table;
 }
 
-HttpResponse EntryProcess::onHttp(const HttpRequest &Request) {
+HttpResponse EntryProcess::handleHttp(const HttpRequest &Request) {
   bool PathKnown = false;
   for (const Route &Each : routes()) {
-    std::string Part;
-    if (!matches(Request.Path, Each.Pattern, Part))
+    std::string Segment;
+    if (!matches(Request.Path, Each.Pattern, Segment))
       continue;
     PathKnown = true;
     if (Request.Method == Each.Method)
-      return (this->*Each.Handle)(Request, Part);
+      return (this->*Each.Handle)(Request, Segment);
   }
   if (PathKnown)
     return refusal(ResultCode::MethodNotAllowed,
-                   Request.Method + " is not known for this path.");
-  return refusal(ResultCode::UnknownPath, "There is nothing at this path.");
+                   Request.Method + " is not allowed for this path.");
+  return refusal(ResultCode::UnknownPath, "No resource exists at this path.");
 }
 
 HttpResponse EntryProcess::health(const HttpRequest &, const std::string &) {
   auto Body = makeDump();
-  const bool Starting = Keeper.version() == ConfigurationVersion();
+  const bool Starting = ActiveConfig.version() == ConfigurationVersion();
   Body->set("status", Draining ? "draining" : Starting ? "starting" : "ready");
-  HttpResponse Response = jsonAnswer(Body);
+  HttpResponse Response = jsonResponse(Body);
   if (Draining || Starting)
     Response.Status = resultInfo(ResultCode::Draining).HttpStatus;
   return Response;
@@ -303,7 +312,7 @@
 
 HttpResponse EntryProcess::state(const HttpRequest &Request,
                                  const std::string &) {
-  const auto Sender = identifyOperator(Request, *Keeper.current());
+  const auto Sender = authenticateOperator(Request, *ActiveConfig.current());
   if (!Sender)
     return refusal(Sender.error());
   HttpResponse Response;
@@ -314,31 +323,31 @@
 std::string EntryProcess::dump() const {
   auto Out = makeDump();
   Out->set("program", "baobabcove-entry");
-  Out->set("node", Of.Node);
+  Out->set("node", Options.Node);
   Out->set("incarnation", Incarnation);
-  Out->set("configuration_version", Keeper.version().value());
+  Out->set("configuration_version", ActiveConfig.version().value());
   Out->set("draining", Draining.load());
   Out->set("registered", Registered.load());
   Out->set("role_epoch", Role->held().value());
   Out->set("highest_epoch", HighestEpoch.load());
-  Out->set("jobs_known", Book.all().size());
-  Out->set("following_store", Book.following());
-  Out->set("requests_waiting", Routes.pool().waiting());
-  Out->set("members", Known.all().size());
-  Out->set("coordinator", Coordinating->dump());
-  Out->set("figures", Figures.dump());
+  Out->set("jobs_known", JobRecords.all().size());
+  Out->set("following_store", JobRecords.watching());
+  Out->set("requests_waiting", RequestRouter.pool().waiting());
+  Out->set("members", Membership.all().size());
+  Out->set("coordinator", CellCoordinator->dump());
+  Out->set("figures", Stats.dump());
   Out->set("process", processStats());
   return dumpText(Out);
 }
 
 HttpResponse EntryProcess::members(const HttpRequest &Request,
                                    const std::string &) {
-  const auto Sender = identifyOperator(Request, *Keeper.current());
+  const auto Sender = authenticateOperator(Request, *ActiveConfig.current());
   if (!Sender)
     return refusal(Sender.error());
   Poco::JSON::Array::Ptr Rows = new Poco::JSON::Array;
   const Instant Now = monotonicNow();
-  for (const auto &Each : Known.all()) {
+  for (const auto &Each : Membership.all()) {
     auto Row = makeDump();
     Row->set("node", Each.Beat.node());
     Row->set("kind", wire::NodeKind_Name(Each.Beat.kind()));
@@ -363,29 +372,29 @@
   }
   auto Body = makeDump();
   Body->set("members", Rows);
-  return jsonAnswer(Body);
+  return jsonResponse(Body);
 }
 
 HttpResponse EntryProcess::setMemberDraining(const HttpRequest &Request,
                                              const std::string &Node,
                                              bool Wanted) {
-  const auto Sender = identifyOperator(Request, *Keeper.current());
+  const auto Sender = authenticateOperator(Request, *ActiveConfig.current());
   if (!Sender)
     return refusal(Sender.error());
   MemberRecord Found;
-  if (!Known.find(NodeId(Node), Found) || Found.Beat.kind() == wire::ENTRY)
+  if (!Membership.find(NodeId(Node), Found) || Found.Beat.kind() == wire::ENTRY)
     return refusal(ResultCode::UnknownPath,
                    "There is no minion or worker " + Node + ".");
   wire::DrainRequest Order;
   Order.set_draining(Wanted);
   const auto Done =
-      Peers.drain(Found.Beat.rpc_address(), Order, DrainCallPatience);
+      Peers.drain(Found.Beat.rpc_address(), Order, DrainCallTimeout);
   if (!Done)
     return refusal(Done.error());
   auto Body = makeDump();
   Body->set("node", Node);
   Body->set("draining", Wanted);
-  return jsonAnswer(Body);
+  return jsonResponse(Body);
 }
 
 HttpResponse EntryProcess::drainMember(const HttpRequest &Request,
@@ -403,8 +412,8 @@
   return Requests.send(Request, Service);
 }
 
-HttpResponse EntryProcess::takeTicket(const HttpRequest &Request,
-                                      const std::string &Service) {
+HttpResponse EntryProcess::issueTicket(const HttpRequest &Request,
+                                       const std::string &Service) {
   return Requests.ticket(Request, Service);
 }
 
--- a/src/entry/EntryProcess.h
+++ b/src/entry/EntryProcess.h
@@ -1,7 +1,3 @@
-/// \file
-/// One entry instance: callers' and operators' HTTP interface, the routing of
-/// requests, and the coordinator's role while it is held.
-
 #ifndef BAOBABCOVE_ENTRY_ENTRYPROCESS_H
 #define BAOBABCOVE_ENTRY_ENTRYPROCESS_H
 
@@ -20,36 +16,40 @@
 
 namespace baobabcove {
 
-/// Ties the parts of an entry together.
+/// An entry instance: serves the HTTP interface of callers and operators,
+/// routes requests to minions and runs the coordinator while it holds the role.
 class EntryProcess : public EntryHandler {
 public:
-  EntryProcess(const Settings &Of, StateCharts Charts);
+  EntryProcess(const Settings &Options, StateCharts Charts);
   ~EntryProcess() override;
 
-  /// Binds the addresses and begins to serve.
+  /// Binds the addresses and starts serving. Fails when an address cannot be
+  /// bound.
   Expected<void> start();
 
-  /// Graceful shutdown: goes unready, finishes the requests under way, hands
-  /// the coordinator's role over and takes leave of the other entries.
-  void stop(Milliseconds Patience);
+  /// Shuts down gracefully: reports not ready, waits at most \p Timeout for the
+  /// requests in flight, resigns from the coordinator's role and sends the
+  /// other entries a final heartbeat.
+  void stop(Milliseconds Timeout);
 
   std::string dump() const;
   std::string httpAddress() const { return Http->address(); }
   std::string rpcAddress() const { return Rpc->address(); }
 
-  wire::HeartbeatReply beat(const wire::Heartbeat &Beat) override;
+  wire::HeartbeatReply heartbeat(const wire::Heartbeat &Message) override;
 
 private:
-  /// One path of the interface. A part "*" of the pattern is handed over.
+  /// A path of the HTTP interface. The segment that "*" matches is passed to
+  /// the handler.
   struct Route {
     const char *Method;
     const char *Pattern;
     HttpResponse (EntryProcess::*Handle)(const HttpRequest &,
-                                         const std::string &Part);
+                                         const std::string &Segment);
   };
   static const std::vector<Route> &routes();
 
-  HttpResponse onHttp(const HttpRequest &Request);
+  HttpResponse handleHttp(const HttpRequest &Request);
   HttpResponse health(const HttpRequest &Request, const std::string &);
   HttpResponse state(const HttpRequest &Request, const std::string &);
   HttpResponse members(const HttpRequest &Request, const std::string &);
@@ -60,8 +60,8 @@
                                  const std::string &Node, bool Draining);
   HttpResponse sendRequest(const HttpRequest &Request,
                            const std::string &Service);
-  HttpResponse takeTicket(const HttpRequest &Request,
-                          const std::string &Service);
+  HttpResponse issueTicket(const HttpRequest &Request,
+                           const std::string &Service);
   HttpResponse submitJob(const HttpRequest &Request, const std::string &);
   HttpResponse listJobs(const HttpRequest &Request, const std::string &);
   HttpResponse showJob(const HttpRequest &Request, const std::string &Id);
@@ -72,46 +72,47 @@
                                   const std::string &);
   HttpResponse listWorkspaces(const HttpRequest &Request, const std::string &);
 
-  wire::Heartbeat ownBeat() const;
-  void onReply(const wire::HeartbeatReply &Reply, Instant SentAt);
-  Milliseconds coordinatorAge(Instant Now) const;
+  wire::Heartbeat buildHeartbeat() const;
+  void onHeartbeatReply(const wire::HeartbeatReply &Reply, Instant SentAt);
+  Milliseconds coordinatorContactAge(Instant Now) const;
   void housekeepingLoop();
   void watchConfiguration();
   bool registerEntry();
-  std::string registryKey() const;
-  std::string peerAddress() const;
+  std::string entryKey() const;
+  std::string advertisedAddress() const;
 
-  const Settings Of;
+  const Settings Options;
   const StateCharts Charts;
   const std::uint64_t Incarnation;
-  Metrics Figures;
-  std::unique_ptr<Store> Platform;
-  std::unique_ptr<Store> WatchPlatform;
-  ConfigurationKeeper Keeper;
+  Metrics Stats;
+  std::unique_ptr<Store> StoreClient;
+  std::unique_ptr<Store> WatchStoreClient;
+  ConfigurationKeeper ActiveConfig;
   RpcPeers Peers;
-  Members Known;
-  KeyClaims Claims;
-  Router Routes;
-  JobBook Book;
+  Members Membership;
+  ClaimStore Claims;
+  Router RequestRouter;
+  JobBook JobRecords;
   EntryContext Context;
   RequestApi Requests;
   JobApi Jobs;
   ConfigurationApi Configurations;
-  std::unique_ptr<Coordinator> Coordinating;
+  std::unique_ptr<Coordinator> CellCoordinator;
   std::unique_ptr<RoleKeeper> Role;
   std::unique_ptr<RpcServer> Rpc;
   std::unique_ptr<HttpServer> Http;
-  std::unique_ptr<Announcer> Announcing;
+  std::unique_ptr<Announcer> Heartbeats;
   std::atomic<bool> Draining{false};
   std::atomic<bool> Leaving{false};
   std::atomic<bool> Registered{false};
   std::atomic<bool> ConfigurationRead{false};
   std::atomic<bool> Stopping{false};
-  /// When the coordinator's entry last answered, less the age of its role.
-  std::atomic<Instant> CoordinatorSeenAt{Instant()};
+  /// Latest time at which the coordinator is known to have held its role: when
+  /// the answered heartbeat was sent, less the age in the reply.
+  std::atomic<Instant> CoordinatorContactAt{Instant()};
   std::atomic<std::uint64_t> HighestEpoch{0};
-  std::thread Housekeeping;
-  std::thread ConfigurationWatch;
+  std::thread HousekeepingThread;
+  std::thread ConfigurationWatchThread;
 };
 
 } // namespace baobabcove
--- a/src/entry/JobApi.cpp
+++ b/src/entry/JobApi.cpp
@@ -19,10 +19,10 @@
 constexpr std::size_t MaxNameBytes = 128;
 constexpr std::uint64_t MaxRunMs = 30ULL * 24 * 3600 * 1000;
 constexpr std::int64_t MaxWaitMs = 60000;
-/// Workers silent for this long may still come back.
-constexpr Milliseconds WorkerMemory{600000};
+/// Workers without a heartbeat for up to this long are expected to return.
+constexpr Milliseconds WorkerRetention{600000};
 
-HttpResponse jobAnswer(const wire::JobRecord &Record, int Status) {
+HttpResponse jobResponse(const wire::JobRecord &Record, int Status) {
   wire::JobRecord Shown = Record;
   Shown.clear_digest();
   HttpResponse Response;
@@ -42,35 +42,35 @@
 std::vector<WorkerInfo> knownWorkers(const EntryContext &Context) {
   std::vector<WorkerInfo> Result;
   for (const auto &Each :
-       Context.Known.alive(wire::WORKER, WorkerMemory, monotonicNow()))
+       Context.Membership.alive(wire::WORKER, WorkerRetention, monotonicNow()))
     Result.push_back(workerInfoOf(Each.Beat));
   return Result;
 }
 
 Expected<void> JobApi::checkSpec(const wire::JobSpec &Spec) const {
-  const auto Bad = [](const std::string &Detail) {
+  const auto Malformed = [](const std::string &Detail) {
     return failure(ResultCode::MalformedRequest, Detail);
   };
   if (Spec.tasks() < 1 || Spec.tasks() > MaxTasks)
-    return Bad(outOfRange("tasks", 1, MaxTasks));
+    return Malformed(outOfRange("tasks", 1, MaxTasks));
   if (Spec.accelerators_per_task() < 1 ||
       std::uint64_t(Spec.tasks()) * Spec.accelerators_per_task() >
           MaxAccelerators)
-    return Bad(
+    return Malformed(
         outOfRange("tasks times accelerators_per_task", 1, MaxAccelerators));
   if (Spec.cores_per_task() > MaxCores)
-    return Bad(outOfRange("cores_per_task", 0, MaxCores));
+    return Malformed(outOfRange("cores_per_task", 0, MaxCores));
   if (Spec.memory_mb_per_task() > MaxMemoryMb)
-    return Bad(outOfRange("memory_mb_per_task", 0, MaxMemoryMb));
+    return Malformed(outOfRange("memory_mb_per_task", 0, MaxMemoryMb));
   if (Spec.declared_run_ms() > MaxRunMs)
-    return Bad(outOfRange("declared_run_ms", 0, MaxRunMs));
+    return Malformed(outOfRange("declared_run_ms", 0, MaxRunMs));
   if (Spec.payload().size() > MaxPayloadBytes)
-    return Bad("payload must be at most " + std::to_string(MaxPayloadBytes) +
-               " bytes.");
+    return Malformed("payload must be at most " +
+                     std::to_string(MaxPayloadBytes) + " bytes.");
   if (Spec.name().size() > MaxNameBytes ||
       Spec.job_class().size() > MaxNameBytes)
-    return Bad("name and job_class must be at most " +
-               std::to_string(MaxNameBytes) + " bytes.");
+    return Malformed("name and job_class must be at most " +
+                     std::to_string(MaxNameBytes) + " bytes.");
   return {};
 }
 
@@ -88,8 +88,8 @@
                      " known workers can hold the shape.");
 }
 
-Expected<wire::JobRecord> JobApi::readJob(const HttpRequest &Request,
-                                          const Identity &Sender) const {
+Expected<wire::JobRecord> JobApi::parseJob(const HttpRequest &Request,
+                                           const Identity &Sender) const {
   wire::JobRecord Record;
   wire::JobSpec &Spec = *Record.mutable_spec();
   if (auto Read = fromJson(Request.Body, Spec); !Read)
@@ -119,37 +119,39 @@
 }
 
 HttpResponse JobApi::submit(const HttpRequest &Request) {
-  const auto Present = Context.Keeper.current();
-  const auto Sender = identify(Request, *Present);
+  const auto CurrentConfig = Context.ActiveConfig.current();
+  const auto Sender = authenticate(Request, *CurrentConfig);
   if (!Sender)
     return refusal(Sender.error());
   if (Sender->Workspace.empty())
     return refusal(ResultCode::WrongWorkspace,
-                   "Jobs are submitted with a workspace's token.");
-  const auto Record = readJob(Request, *Sender);
+                   "Submitting a job requires a workspace token.");
+  const auto Record = parseJob(Request, *Sender);
   if (!Record)
     return refusal(Record.error());
-  StoredJob Known;
-  const bool Repeat = Context.Book.find(JobId(Record->id()), Known);
-  const auto Limit = Present->Workspaces.at(Sender->Workspace).MaxQueuedJobs;
-  if (!Repeat && Context.Book.openJobs(WorkspaceId(Sender->Workspace)) >= Limit)
+  StoredJob Existing;
+  const bool Repeat = Context.JobRecords.find(JobId(Record->id()), Existing);
+  const auto Limit =
+      CurrentConfig->Workspaces.at(Sender->Workspace).MaxQueuedJobs;
+  if (!Repeat &&
+      Context.JobRecords.openJobs(WorkspaceId(Sender->Workspace)) >= Limit)
     return refusal(ResultCode::WorkspaceLimit,
-                   "The workspace has " + std::to_string(Limit) +
-                       " open jobs, as many as it may.");
-  const auto Accepted = Context.Book.submit(*Record);
+                   "The workspace has reached its limit of " +
+                       std::to_string(Limit) + " open jobs.");
+  const auto Accepted = Context.JobRecords.submit(*Record);
   if (!Accepted)
     return refusal(Accepted.error());
-  Context.Figures.count("jobs_accepted");
-  return jobAnswer(Accepted->Record, 202);
+  Context.Stats.count("jobs_accepted");
+  return jobResponse(Accepted->Record, 202);
 }
 
 HttpResponse JobApi::list(const HttpRequest &Request) {
-  const auto Sender = identify(Request, *Context.Keeper.current());
+  const auto Sender = authenticate(Request, *Context.ActiveConfig.current());
   if (!Sender)
     return refusal(Sender.error());
   wire::JobList List;
-  for (const StoredJob &Job : Context.Book.all()) {
-    if (!Sender->maySee(Job.Record.spec().workspace()))
+  for (const StoredJob &Job : Context.JobRecords.all()) {
+    if (!Sender->mayAccess(Job.Record.spec().workspace()))
       continue;
     *List.add_jobs() = Job.Record;
     List.mutable_jobs(List.jobs_size() - 1)->clear_digest();
@@ -159,31 +161,31 @@
   return Response;
 }
 
-Expected<StoredJob> JobApi::findFor(const Identity &Sender,
-                                    const std::string &Id) const {
+Expected<StoredJob> JobApi::findVisible(const Identity &Sender,
+                                        const std::string &Id) const {
   StoredJob Found;
-  if (!Context.Book.find(JobId(Id), Found)) {
-    auto Read = Context.Book.readThrough(JobId(Id));
+  if (!Context.JobRecords.find(JobId(Id), Found)) {
+    auto Read = Context.JobRecords.readThrough(JobId(Id));
     if (!Read)
       return Read;
     Found = *Read;
   }
-  if (!Sender.maySee(Found.Record.spec().workspace()))
+  if (!Sender.mayAccess(Found.Record.spec().workspace()))
     return failure(ResultCode::WrongWorkspace,
                    "The job belongs to another workspace.");
   return Found;
 }
 
 HttpResponse JobApi::show(const HttpRequest &Request, const std::string &Id) {
-  const auto Sender = identify(Request, *Context.Keeper.current());
+  const auto Sender = authenticate(Request, *Context.ActiveConfig.current());
   if (!Sender)
     return refusal(Sender.error());
-  auto Found = findFor(*Sender, Id);
+  auto Found = findVisible(*Sender, Id);
   if (!Found)
     return refusal(Found.error());
   const std::string Wait = Request.query("wait_ms");
   if (Wait.empty())
-    return jobAnswer(Found->Record, 200);
+    return jobResponse(Found->Record, 200);
   std::int64_t WaitMs = 0;
   const char *End = Wait.data() + Wait.size();
   const auto Read = std::from_chars(Wait.data(), End, WaitMs);
@@ -191,22 +193,22 @@
       WaitMs > MaxWaitMs)
     return refusal(ResultCode::MalformedRequest,
                    outOfRange("wait_ms", 0, MaxWaitMs));
-  (void)Context.Book.waitEnded(JobId(Id), monotonicNow() + Milliseconds(WaitMs),
-                               *Found);
-  return jobAnswer(Found->Record, 200);
+  (void)Context.JobRecords.waitEnded(
+      JobId(Id), monotonicNow() + Milliseconds(WaitMs), *Found);
+  return jobResponse(Found->Record, 200);
 }
 
 HttpResponse JobApi::cancel(const HttpRequest &Request, const std::string &Id) {
-  const auto Sender = identify(Request, *Context.Keeper.current());
+  const auto Sender = authenticate(Request, *Context.ActiveConfig.current());
   if (!Sender)
     return refusal(Sender.error());
-  const auto Found = findFor(*Sender, Id);
+  const auto Found = findVisible(*Sender, Id);
   if (!Found)
     return refusal(Found.error());
-  const auto Cancelled = Context.Book.requestCancel(JobId(Id));
+  const auto Cancelled = Context.JobRecords.requestCancel(JobId(Id));
   if (!Cancelled)
     return refusal(Cancelled.error());
-  return jobAnswer(Cancelled->Record, 202);
+  return jobResponse(Cancelled->Record, 202);
 }
 
 } // namespace baobabcove
--- a/src/entry/JobApi.h
+++ b/src/entry/JobApi.h
@@ -1,6 +1,3 @@
-/// \file
-/// Callers' jobs over HTTP.
-
 #ifndef BAOBABCOVE_ENTRY_JOBAPI_H
 #define BAOBABCOVE_ENTRY_JOBAPI_H
 
@@ -8,7 +5,7 @@
 
 namespace baobabcove {
 
-/// Submits, shows, lists, waits for and cancels jobs.
+/// HTTP handlers that submit, show, list, wait for and cancel jobs.
 class JobApi {
 public:
   explicit JobApi(EntryContext &Context) : Context(Context) {}
@@ -17,23 +14,24 @@
   HttpResponse submit(const HttpRequest &Request);
   /// GET /v1/jobs
   HttpResponse list(const HttpRequest &Request);
-  /// GET /v1/jobs/ID, with ?wait_ms=N until the job has ended
+  /// GET /v1/jobs/ID; ?wait_ms=N waits up to N ms for the job to end
   HttpResponse show(const HttpRequest &Request, const std::string &Id);
   /// DELETE /v1/jobs/ID
   HttpResponse cancel(const HttpRequest &Request, const std::string &Id);
 
 private:
-  Expected<wire::JobRecord> readJob(const HttpRequest &Request,
-                                    const Identity &Sender) const;
+  Expected<wire::JobRecord> parseJob(const HttpRequest &Request,
+                                     const Identity &Sender) const;
   Expected<void> checkSpec(const wire::JobSpec &Spec) const;
   Expected<void> checkShape(const wire::JobSpec &Spec) const;
-  Expected<StoredJob> findFor(const Identity &Sender,
-                              const std::string &Id) const;
+  Expected<StoredJob> findVisible(const Identity &Sender,
+                                  const std::string &Id) const;
 
   EntryContext &Context;
 };
 
-/// Workers that were heard lately, as the decision library takes them.
+/// Returns the workers with a recent heartbeat in the form that the scheduler
+/// takes.
 std::vector<WorkerInfo> knownWorkers(const EntryContext &Context);
 
 } // namespace baobabcove
--- a/src/entry/JobBook.cpp
+++ b/src/entry/JobBook.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr Milliseconds WatchPause{300};
+constexpr Milliseconds WatchRetryDelay{300};
 
 Expected<StoredJob> parse(const StoreEntry &Entry) {
   StoredJob Job;
   Job.Revision = Entry.Revision;
   if (!Job.Record.ParseFromString(Entry.Value))
     return failure(ResultCode::StoreUnavailable,
-                   "The record " + Entry.Key + " is unreadable.");
+                   "The job record " + Entry.Key + " cannot be parsed.");
   return Job;
 }
 
@@ -26,58 +26,58 @@
          Record.state() == wire::CANCELLED;
 }
 
-JobBook::JobBook(Store &Platform, const std::string &Cell)
-    : Platform(Platform), Prefix("jobs/" + Cell + "/") {}
+JobBook::JobBook(Store &StoreClient, const std::string &Cell)
+    : StoreClient(StoreClient), KeyPrefix("jobs/" + Cell + "/") {}
 
 JobBook::~JobBook() {
   Stop = true;
-  if (Thread.joinable())
-    Thread.join();
+  if (WatchThread.joinable())
+    WatchThread.join();
 }
 
-void JobBook::start(Listener OnChange) {
-  Changed = std::move(OnChange);
-  Thread = std::thread([this] { run(); });
+void JobBook::start(Listener ChangeListener) {
+  OnChange = std::move(ChangeListener);
+  WatchThread = std::thread([this] { run(); });
 }
 
 void JobBook::run() {
   while (!Stop) {
-    const auto Revision = load();
+    const auto Revision = loadSnapshot();
     if (Revision) {
-      Following = true;
-      (void)Platform.watch(
-          Prefix, *Revision, [this](const StoreEntry &Entry) { take(Entry); },
-          Stop);
+      WatchActive = true;
+      (void)StoreClient.watch(
+          KeyPrefix, *Revision,
+          [this](const StoreEntry &Entry) { applyEntry(Entry); }, Stop);
     }
-    Following = false;
+    WatchActive = false;
     if (!Stop)
-      std::this_thread::sleep_for(WatchPause);
+      std::this_thread::sleep_for(WatchRetryDelay);
   }
 }
 
-Expected<std::int64_t> JobBook::load() {
-  const auto Snapshot = Platform.list(Prefix);
+Expected<std::int64_t> JobBook::loadSnapshot() {
+  const auto Snapshot = StoreClient.list(KeyPrefix);
   if (!Snapshot)
     return tl::unexpected<Error>(Snapshot.error());
-  std::set<std::string> Present;
+  std::set<std::string> ListedIds;
   for (const StoreEntry &Entry : Snapshot->Entries) {
-    Present.insert(Entry.Key.substr(Prefix.size()));
-    take(Entry);
+    ListedIds.insert(Entry.Key.substr(KeyPrefix.size()));
+    applyEntry(Entry);
   }
-  std::vector<std::string> Gone;
+  std::vector<std::string> RemovedIds;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
     for (const auto &[Id, Job] : Jobs)
-      if (Present.count(Id) == 0)
-        Gone.push_back(Id);
+      if (ListedIds.count(Id) == 0)
+        RemovedIds.push_back(Id);
   }
-  for (const std::string &Id : Gone)
-    take({Prefix + Id, "", 0});
+  for (const std::string &Id : RemovedIds)
+    applyEntry({KeyPrefix + Id, "", 0});
   return Snapshot->Revision;
 }
 
-void JobBook::take(const StoreEntry &Entry) {
-  const std::string Id = Entry.Key.substr(Prefix.size());
+void JobBook::applyEntry(const StoreEntry &Entry) {
+  const std::string Id = Entry.Key.substr(KeyPrefix.size());
   if (Entry.Revision == 0) {
     const std::lock_guard<std::mutex> Lock(Mutex);
     Jobs.erase(Id);
@@ -90,40 +90,41 @@
   }
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    StoredJob &Known = Jobs[Id];
-    if (Known.Revision >= Job->Revision)
+    StoredJob &Cached = Jobs[Id];
+    if (Cached.Revision >= Job->Revision)
       return;
-    Known = *Job;
-    Updated.notify_all();
+    Cached = *Job;
+    RecordsChanged.notify_all();
   }
-  if (Changed)
-    Changed(*Job);
+  if (OnChange)
+    OnChange(*Job);
 }
 
-Expected<StoredJob> JobBook::submit(const wire::JobRecord &Fresh) {
-  const std::string Key = keyOf(JobId(Fresh.id()));
-  const auto Written = Platform.swap(Key, 0, Fresh.SerializeAsString(), 0);
+Expected<StoredJob> JobBook::submit(const wire::JobRecord &NewRecord) {
+  const std::string Key = keyOf(JobId(NewRecord.id()));
+  const auto Written =
+      StoreClient.swap(Key, 0, NewRecord.SerializeAsString(), 0);
   if (Written) {
-    take({Key, Fresh.SerializeAsString(), *Written});
-    return StoredJob{Fresh, *Written};
+    applyEntry({Key, NewRecord.SerializeAsString(), *Written});
+    return StoredJob{NewRecord, *Written};
   }
   if (Written.error().Code == ResultCode::StoreUnavailable)
     return tl::unexpected<Error>(Written.error());
-  auto Present = readThrough(JobId(Fresh.id()));
-  if (!Present) {
-    // Neither the write nor the reading back has told anything.
+  auto Current = readThrough(JobId(NewRecord.id()));
+  if (!Current) {
+    // Neither the write nor the read shows whether the job was stored.
     if (Written.error().Code == ResultCode::CompareFailed)
-      return tl::unexpected<Error>(Present.error());
+      return tl::unexpected<Error>(Current.error());
     return failure(ResultCode::StoreAnswerLost, Written.error().Detail);
   }
-  if (Present->Record.digest() != Fresh.digest())
+  if (Current->Record.digest() != NewRecord.digest())
     return failure(ResultCode::KeyReused,
-                   "The key belongs to another job of this workspace.");
-  return Present;
+                   "The key belongs to a different job of this workspace.");
+  return Current;
 }
 
 Expected<StoredJob> JobBook::readThrough(const JobId &Id) {
-  const auto Entry = Platform.read(keyOf(Id));
+  const auto Entry = StoreClient.read(keyOf(Id));
   if (!Entry)
     return tl::unexpected<Error>(Entry.error());
   if (Entry->Revision == 0)
@@ -132,7 +133,7 @@
 }
 
 Expected<std::vector<StoredJob>> JobBook::listThrough() {
-  const auto Snapshot = Platform.list(Prefix);
+  const auto Snapshot = StoreClient.list(KeyPrefix);
   if (!Snapshot)
     return tl::unexpected<Error>(Snapshot.error());
   std::vector<StoredJob> Result;
@@ -146,14 +147,14 @@
 
 Expected<StoredJob> JobBook::requestCancel(const JobId &Id) {
   for (;;) {
-    auto Present = readThrough(Id);
-    if (!Present || hasEnded(Present->Record) ||
-        Present->Record.cancel_requested())
-      return Present;
-    Present->Record.set_cancel_requested(true);
-    const auto Written = write(Present->Record, Present->Revision);
+    auto Current = readThrough(Id);
+    if (!Current || hasEnded(Current->Record) ||
+        Current->Record.cancel_requested())
+      return Current;
+    Current->Record.set_cancel_requested(true);
+    const auto Written = write(Current->Record, Current->Revision);
     if (Written)
-      return StoredJob{Present->Record, *Written};
+      return StoredJob{Current->Record, *Written};
     if (Written.error().Code != ResultCode::CompareFailed)
       return tl::unexpected<Error>(Written.error());
   }
@@ -163,33 +164,33 @@
                                       std::int64_t Revision) {
   const std::string Key = keyOf(JobId(Record.id()));
   const std::string Value = Record.SerializeAsString();
-  auto Written = Platform.swap(Key, Revision, Value, 0);
+  auto Written = StoreClient.swap(Key, Revision, Value, 0);
   if (Written) {
-    take({Key, Value, *Written});
+    applyEntry({Key, Value, *Written});
     return Written;
   }
   if (Written.error().Code != ResultCode::StoreAnswerLost)
     return Written;
-  const auto Present = Platform.read(Key);
-  if (!Present)
+  const auto Current = StoreClient.read(Key);
+  if (!Current)
     return failure(ResultCode::StoreAnswerLost, Written.error().Detail);
-  if (Present->Value == Value && Present->Revision > Revision)
-    return Present->Revision;
-  if (Present->Revision != Revision)
-    return failure(ResultCode::CompareFailed, "The job has changed.");
+  if (Current->Value == Value && Current->Revision > Revision)
+    return Current->Revision;
+  if (Current->Revision != Revision)
+    return failure(ResultCode::CompareFailed, "The job record has changed.");
   return failure(ResultCode::StoreAnswerLost, Written.error().Detail);
 }
 
 Expected<void> JobBook::remove(const JobId &Id, std::int64_t Revision) {
-  return Platform.remove(keyOf(Id), Revision);
+  return StoreClient.remove(keyOf(Id), Revision);
 }
 
 bool JobBook::find(const JobId &Id, StoredJob &Found) const {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  const auto Known = Jobs.find(Id.str());
-  if (Known == Jobs.end())
+  const auto Cached = Jobs.find(Id.str());
+  if (Cached == Jobs.end())
     return false;
-  Found = Known->second;
+  Found = Cached->second;
   return true;
 }
 
@@ -214,14 +215,14 @@
 bool JobBook::waitEnded(const JobId &Id, Instant Deadline,
                         StoredJob &Found) const {
   std::unique_lock<std::mutex> Lock(Mutex);
-  const auto Look = [&] {
-    const auto Known = Jobs.find(Id.str());
-    if (Known == Jobs.end())
+  const auto Ended = [&] {
+    const auto Cached = Jobs.find(Id.str());
+    if (Cached == Jobs.end())
       return false;
-    Found = Known->second;
+    Found = Cached->second;
     return hasEnded(Found.Record);
   };
-  return Updated.wait_until(Lock, Deadline, Look);
+  return RecordsChanged.wait_until(Lock, Deadline, Ended);
 }
 
 } // namespace baobabcove
--- a/src/entry/JobBook.h
+++ b/src/entry/JobBook.h
@@ -1,6 +1,3 @@
-/// \file
-/// The jobs of a cell, as the platform's store has them.
-
 #ifndef BAOBABCOVE_ENTRY_JOBBOOK_H
 #define BAOBABCOVE_ENTRY_JOBBOOK_H
 
@@ -21,77 +18,78 @@
 
 namespace baobabcove {
 
-/// A job record and the store's revision of it.
+/// A job record and its revision in the store.
 struct StoredJob {
   wire::JobRecord Record;
   std::int64_t Revision = 0;
 };
 
-/// Whether a job has come to its end.
+/// Returns whether a job is done, failed or cancelled.
 bool hasEnded(const wire::JobRecord &Record);
 
-/// A copy of the cell's job records, kept up to date by one watch, so that
-/// reading costs the store nothing and goes on while it is down. Writes go to
-/// the store. Thread-safe.
+/// The job records of a cell. Reads are served from a local copy that a store
+/// watch keeps up to date, so they cost the store nothing and work while it is
+/// unavailable. Writes go to the store. Thread-safe.
 class JobBook {
 public:
-  /// Hears every change, from the watch's thread.
+  /// Called for every change of a record, from the thread that learns of it.
   using Listener = std::function<void(const StoredJob &)>;
 
-  JobBook(Store &Platform, const std::string &Cell);
+  JobBook(Store &StoreClient, const std::string &Cell);
   ~JobBook();
 
-  /// Begins to watch.
-  void start(Listener Changed);
+  /// Starts the watch.
+  void start(Listener ChangeListener);
 
-  /// Writes a new job. A job of the same id and digest that is there already
-  /// is returned as it is; one with another digest fails with KeyReused.
-  /// Fails with StoreUnavailable when the job was surely not accepted, and
-  /// with StoreAnswerLost when that is not known.
-  Expected<StoredJob> submit(const wire::JobRecord &Fresh);
+  /// Writes a new job. If a job with the same id exists, returns it when the
+  /// digests are equal and fails with KeyReused otherwise. Fails with
+  /// StoreUnavailable when the job was not accepted and with StoreAnswerLost
+  /// when the outcome is unknown.
+  Expected<StoredJob> submit(const wire::JobRecord &NewRecord);
 
-  /// Marks a job for cancelling. Fails with UnknownJob, StoreUnavailable or
+  /// Marks a job for cancellation. Fails with UnknownJob, StoreUnavailable or
   /// StoreAnswerLost.
   Expected<StoredJob> requestCancel(const JobId &Id);
 
-  /// Replaces the record at \p Revision; returns the new revision. When the
-  /// answer is lost, the record is read back to tell.
+  /// Replaces the record at \p Revision and returns the new revision. When the
+  /// store's answer is lost, reads the record back to learn the outcome.
   Expected<std::int64_t> write(const wire::JobRecord &Record,
                                std::int64_t Revision);
 
-  /// Removes an ended record.
+  /// Removes the record of an ended job from the store.
   Expected<void> remove(const JobId &Id, std::int64_t Revision);
 
-  /// Reads one record from the store itself.
+  /// Reads one record from the store, bypassing the local copy.
   Expected<StoredJob> readThrough(const JobId &Id);
-  /// Reads all records from the store itself.
+  /// Reads all records from the store, bypassing the local copy.
   Expected<std::vector<StoredJob>> listThrough();
 
   bool find(const JobId &Id, StoredJob &Found) const;
   std::vector<StoredJob> all() const;
   std::size_t openJobs(const WorkspaceId &Workspace) const;
 
-  /// Waits until the job has ended or \p Deadline; returns the newest record.
+  /// Waits until the job has ended, at most until \p Deadline. Stores the
+  /// newest known record in \p Found and returns whether the job has ended.
   bool waitEnded(const JobId &Id, Instant Deadline, StoredJob &Found) const;
 
-  /// Whether the copy follows the store at present.
-  bool following() const { return Following; }
+  /// Returns whether the watch is active, so that the local copy is up to date.
+  bool watching() const { return WatchActive; }
 
 private:
   void run();
-  Expected<std::int64_t> load();
-  void take(const StoreEntry &Entry);
-  std::string keyOf(const JobId &Id) const { return Prefix + Id.str(); }
+  Expected<std::int64_t> loadSnapshot();
+  void applyEntry(const StoreEntry &Entry);
+  std::string keyOf(const JobId &Id) const { return KeyPrefix + Id.str(); }
 
-  Store &Platform;
-  const std::string Prefix;
-  Listener Changed;
+  Store &StoreClient;
+  const std::string KeyPrefix;
+  Listener OnChange;
   std::atomic<bool> Stop{false};
-  std::atomic<bool> Following{false};
+  std::atomic<bool> WatchActive{false};
   mutable std::mutex Mutex;
-  mutable std::condition_variable Updated;
+  mutable std::condition_variable RecordsChanged;
   std::map<std::string, StoredJob> Jobs;
-  std::thread Thread;
+  std::thread WatchThread;
 };
 
 } // namespace baobabcove
--- a/src/entry/MinionPool.cpp
+++ b/src/entry/MinionPool.cpp
@@ -6,41 +6,42 @@
 
 namespace {
 
-/// Longest wait for a slot; a caller hears of overload early.
-constexpr Milliseconds LongestWait{1000};
-/// Waiting requests for each slot of the service.
+/// Maximum wait for a slot, short so that callers learn of overload early.
+constexpr Milliseconds MaxSlotWait{1000};
+/// Queue limit of a service: waiting requests per slot.
 constexpr std::size_t WaitersPerSlot = 1;
-/// Requests that may wait before the slots of a service are known.
-constexpr std::size_t WaitersInWarmUp = 64;
-constexpr double LatencyShare = 0.2;
-/// A minion this many times slower than the median is held for one step
+/// Minimum queue limit during warm-up, when not all slots are known yet.
+constexpr std::size_t MinWaitersInWarmUp = 64;
+constexpr double LatencyEwmaWeight = 0.2;
+/// A minion this many times slower than the median is scored as if it were
 /// farther away.
 constexpr double SlowFactor = 3;
-constexpr double SlowFloorMs = 20;
+constexpr double MinSlowLatencyMs = 20;
 constexpr std::uint32_t FailuresToEject = 3;
-constexpr Milliseconds FirstEjection{2000};
-constexpr Milliseconds LongestEjection{30000};
-constexpr double FartherStep = 10;
-constexpr double JitterShare = 0.01;
-/// An entry that has just begun may not have heard of every agent. An agent
-/// that must ask the store for the new entry's address takes this long.
-constexpr Milliseconds WarmUp{4000};
+constexpr Milliseconds InitialEjection{2000};
+constexpr Milliseconds MaxEjection{30000};
+constexpr double DistanceWeight = 10;
+constexpr double MaxJitter = 0.01;
+/// Time after the start in which heartbeats of some agents may be missing: an
+/// agent that must look up the new entry's address in the store takes this
+/// long.
+constexpr Milliseconds WarmUpTime{4000};
 
 tl::unexpected<Error> noMinion() {
-  return failure(ResultCode::NoMinion, "No live minion answers the service.");
+  return failure(ResultCode::NoMinion, "No live minion provides the service.");
 }
 
 } // namespace
 
-MinionPool::MinionPool(const Settings &Of, const Members &Known)
-    : Of(Of), Known(Known), WarmUntil(monotonicNow() + WarmUp),
-      Dice(std::random_device{}()) {}
+MinionPool::MinionPool(const Settings &Options, const Members &Membership)
+    : Options(Options), Membership(Membership),
+      WarmUpEnd(monotonicNow() + WarmUpTime), Rng(std::random_device{}()) {}
 
 int MinionPool::distance(const MemberRecord &Candidate) const {
   const wire::Location &There = Candidate.Beat.location();
-  if (There.place() != Of.Place)
+  if (There.place() != Options.Place)
     return 2;
-  return There.data_centre() == Of.DataCentre ? 0 : 1;
+  return There.data_centre() == Options.DataCentre ? 0 : 1;
 }
 
 bool MinionPool::ejected(const std::string &Node, Instant Now) const {
@@ -48,37 +49,39 @@
   return Found != Minions.end() && Found->second.EjectedUntil > Now;
 }
 
-std::uint32_t MinionPool::busy(const std::string &Node) const {
+std::uint32_t MinionPool::slotsInUse(const std::string &Node) const {
   const auto Found = Minions.find(Node);
-  return Found == Minions.end() ? 0 : Found->second.Own + Found->second.Foreign;
+  return Found == Minions.end()
+             ? 0
+             : Found->second.InFlightHere + Found->second.InFlightElsewhere;
 }
 
 double MinionPool::score(const MemberRecord &Candidate,
                          double MedianLatency) const {
-  double Result = FartherStep * distance(Candidate);
+  double Result = DistanceWeight * distance(Candidate);
   const std::string &Node = Candidate.Beat.node();
-  Result += static_cast<double>(busy(Node)) /
+  Result += static_cast<double>(slotsInUse(Node)) /
             std::max(1U, Candidate.Beat.minion().slots());
   const auto Found = Minions.find(Node);
   if (Found == Minions.end())
     return Result;
   const double Latency = Found->second.LatencyMs;
-  if (Latency > SlowFloorMs && Latency > SlowFactor * MedianLatency)
-    Result += FartherStep * 1.5;
+  if (Latency > MinSlowLatencyMs && Latency > SlowFactor * MedianLatency)
+    Result += DistanceWeight * 1.5;
   return Result;
 }
 
-MinionPool::Pick MinionPool::pick(const SlotRequest &Wanted,
+MinionPool::Pick MinionPool::pick(const SlotRequest &Request,
                                   MemberRecord &Chosen) {
   const Instant Now = monotonicNow();
   std::vector<MemberRecord> Candidates;
   std::vector<double> Latencies;
   std::size_t Ejected = 0;
-  for (auto &Each :
-       Known.alive(wire::MINION, Milliseconds(Of.MinionSilenceMs), Now)) {
-    if (Each.Beat.minion().service() != Wanted.Service || Each.Beat.draining())
+  for (auto &Each : Membership.alive(
+           wire::MINION, Milliseconds(Options.MinionSilenceMs), Now)) {
+    if (Each.Beat.minion().service() != Request.Service || Each.Beat.draining())
       continue;
-    if (Wanted.Excluded.count(Each.Beat.node()) != 0)
+    if (Request.Excluded.count(Each.Beat.node()) != 0)
       continue;
     Ejected += ejected(Each.Beat.node(), Now) ? 1 : 0;
     const auto Found = Minions.find(Each.Beat.node());
@@ -93,17 +96,18 @@
     std::sort(Latencies.begin(), Latencies.end());
     Median = Latencies[(Latencies.size() - 1) / 2];
   }
-  // When more than half would be left out, the fault is not in the minions.
+  // If more than half of the minions are ejected, the cause is probably not in
+  // the minions, so ejected ones are used too.
   const bool UseEjected = 2 * Ejected > Candidates.size();
   const MemberRecord *Best = nullptr;
   double BestScore = 0;
-  std::uniform_real_distribution<double> Jitter(0, JitterShare);
+  std::uniform_real_distribution<double> Jitter(0, MaxJitter);
   for (const MemberRecord &Each : Candidates) {
-    if (busy(Each.Beat.node()) >= Each.Beat.minion().slots())
+    if (slotsInUse(Each.Beat.node()) >= Each.Beat.minion().slots())
       continue;
     if (!UseEjected && ejected(Each.Beat.node(), Now))
       continue;
-    const double Score = score(Each, Median) + Jitter(Dice);
+    const double Score = score(Each, Median) + Jitter(Rng);
     if (Best && Score >= BestScore)
       continue;
     Best = &Each;
@@ -115,171 +119,177 @@
   return Pick::Found;
 }
 
-void MinionPool::take(const std::string &Node, const std::string &Workspace) {
-  ++Minions[Node].Own;
+void MinionPool::reserveSlot(const std::string &Node,
+                             const std::string &Workspace) {
+  ++Minions[Node].InFlightHere;
   ++ByWorkspace[Workspace];
 }
 
-/// Requests that may wait for a slot of a service.
-std::size_t MinionPool::roomFor(const std::string &Service, Instant Now) const {
+/// Returns how many requests may wait for a slot of a service.
+std::size_t MinionPool::queueLimit(const std::string &Service,
+                                   Instant Now) const {
   const std::size_t Room = slotsOf(Service) * WaitersPerSlot;
-  return Now < WarmUntil ? std::max(Room, WaitersInWarmUp) : Room;
+  return Now < WarmUpEnd ? std::max(Room, MinWaitersInWarmUp) : Room;
 }
 
 std::size_t MinionPool::slotsOf(const std::string &Service) const {
   std::size_t Slots = 0;
-  for (const auto &Each : Known.alive(
-           wire::MINION, Milliseconds(Of.MinionSilenceMs), monotonicNow()))
+  for (const auto &Each : Membership.alive(
+           wire::MINION, Milliseconds(Options.MinionSilenceMs), monotonicNow()))
     if (Each.Beat.minion().service() == Service)
       Slots += Each.Beat.minion().slots();
   return Slots;
 }
 
-/// Requests of a workspace that are under way or wait.
-std::size_t MinionPool::load(const std::string &Workspace) const {
+/// Returns the number of a workspace's requests that are in flight or waiting.
+std::size_t MinionPool::requestCount(const std::string &Workspace) const {
   const auto Found = ByWorkspace.find(Workspace);
   std::size_t Count = Found == ByWorkspace.end() ? 0 : Found->second;
   for (const Waiter *Each : Waiters)
-    Count += Each->Wanted->Workspace == Workspace ? 1 : 0;
+    Count += Each->Request->Workspace == Workspace ? 1 : 0;
   return Count;
 }
 
-/// Refuses the newest waiter of the workspace with the most requests, unless
-/// that is the one that asks.
-bool MinionPool::makeRoomFor(const std::string &Workspace) {
-  Waiter *Heaviest = nullptr;
-  std::size_t Most = load(Workspace) + 1;
+/// Refuses the newest waiting request of the workspace with the most requests
+/// to make room in the queue. Returns false when that is \p Workspace itself.
+bool MinionPool::evictWaiterFor(const std::string &Workspace) {
+  Waiter *Victim = nullptr;
+  std::size_t Most = requestCount(Workspace) + 1;
   for (Waiter *Each : Waiters) {
-    const std::size_t Load = load(Each->Wanted->Workspace);
-    if (Load < Most || (Heaviest && Load == Most &&
-                        Each->Wanted->Workspace != Heaviest->Wanted->Workspace))
+    const std::size_t Load = requestCount(Each->Request->Workspace);
+    if (Load < Most || (Victim && Load == Most &&
+                        Each->Request->Workspace != Victim->Request->Workspace))
       continue;
     Most = Load;
-    Heaviest = Each;
+    Victim = Each;
   }
-  if (!Heaviest || Heaviest->Wanted->Workspace == Workspace)
+  if (!Victim || Victim->Request->Workspace == Workspace)
     return false;
-  Heaviest->Refused = true;
-  Waiters.remove(Heaviest);
-  Heaviest->Ready.notify_one();
+  Victim->Refused = true;
+  Waiters.remove(Victim);
+  Victim->Ready.notify_one();
   return true;
 }
 
-Expected<MemberRecord> MinionPool::acquire(const SlotRequest &Wanted) {
+Expected<MemberRecord> MinionPool::acquire(const SlotRequest &Request) {
   std::unique_lock<std::mutex> Lock(Mutex);
   Waiter Mine;
   const Instant Now = monotonicNow();
   if (Waiters.empty()) {
-    const Pick Result = pick(Wanted, Mine.Member);
+    const Pick Result = pick(Request, Mine.Member);
     if (Result == Pick::Found) {
-      take(Mine.Member.Beat.node(), Wanted.Workspace);
+      reserveSlot(Mine.Member.Beat.node(), Request.Workspace);
       return Mine.Member;
     }
-    if (Result == Pick::None && Now >= WarmUntil)
+    if (Result == Pick::None && Now >= WarmUpEnd)
       return noMinion();
   }
-  const bool Full = Waiters.size() >= roomFor(Wanted.Service, Now);
-  if (Full && !makeRoomFor(Wanted.Workspace))
+  const bool Full = Waiters.size() >= queueLimit(Request.Service, Now);
+  if (Full && !evictWaiterFor(Request.Workspace))
     return failure(ResultCode::Overloaded,
                    "Every slot is in use and the queue is full.");
-  Mine.Wanted = &Wanted;
+  Mine.Request = &Request;
   Mine.Number = NextNumber++;
-  const auto Place = Waiters.insert(Waiters.end(), &Mine);
-  serveWaiters();
-  const Instant GiveUp =
-      std::min(Wanted.Deadline, std::max(Now + LongestWait, WarmUntil));
-  Mine.Ready.wait_until(Lock, GiveUp,
+  const auto Position = Waiters.insert(Waiters.end(), &Mine);
+  grantWaiters();
+  const Instant WaitDeadline =
+      std::min(Request.Deadline, std::max(Now + MaxSlotWait, WarmUpEnd));
+  Mine.Ready.wait_until(Lock, WaitDeadline,
                         [&] { return Mine.Granted || Mine.Refused; });
   if (Mine.Granted)
     return Mine.Member;
   if (Mine.Refused)
     return failure(ResultCode::Overloaded,
-                   "The queue is full and other workspaces wait.");
-  Waiters.erase(Place);
-  if (monotonicNow() >= Wanted.Deadline)
+                   "The queue is full and other workspaces are waiting.");
+  Waiters.erase(Position);
+  if (monotonicNow() >= Request.Deadline)
     return failure(ResultCode::DeadlineBeforeStart,
-                   "The deadline passed while it waited for a slot.");
-  if (slotsOf(Wanted.Service) == 0)
+                   "The deadline passed while the request waited for a slot.");
+  if (slotsOf(Request.Service) == 0)
     return noMinion();
   return failure(ResultCode::Overloaded, "Every slot is in use.");
 }
 
-void MinionPool::occupy(const std::string &Node, const std::string &Workspace) {
+void MinionPool::occupySlot(const std::string &Node,
+                            const std::string &Workspace) {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  take(Node, Workspace);
+  reserveSlot(Node, Workspace);
 }
 
 void MinionPool::noteFailure(Minion &Failed, Instant Now) {
   if (++Failed.FailuresInRow < FailuresToEject)
     return;
   Failed.EjectedFor = Failed.EjectedFor.count() == 0
-                          ? FirstEjection
-                          : std::min(2 * Failed.EjectedFor, LongestEjection);
+                          ? InitialEjection
+                          : std::min(2 * Failed.EjectedFor, MaxEjection);
   Failed.EjectedUntil = Now + Failed.EjectedFor;
   Failed.FailuresInRow = 0;
 }
 
 void MinionPool::release(const std::string &Node, const std::string &Workspace,
-                         DeliveryMark Mark, Milliseconds Took,
+                         DeliveryResult Result, Milliseconds Latency,
                          int ReportedInFlight) {
   const std::lock_guard<std::mutex> Lock(Mutex);
   Minion &Released = Minions[Node];
-  --Released.Own;
+  --Released.InFlightHere;
   const auto Count = ByWorkspace.find(Workspace);
   if (--Count->second == 0)
     ByWorkspace.erase(Count);
   if (ReportedInFlight >= 0) {
     const auto Reported = static_cast<std::uint32_t>(ReportedInFlight);
-    Released.Foreign = Reported > Released.Own ? Reported - Released.Own : 0;
+    Released.InFlightElsewhere =
+        Reported > Released.InFlightHere ? Reported - Released.InFlightHere : 0;
   }
-  if (Mark == DeliveryMark::Good) {
-    const double Sample = static_cast<double>(Took.count());
-    Released.LatencyMs =
-        Released.LatencyMs == 0
-            ? Sample
-            : (1 - LatencyShare) * Released.LatencyMs + LatencyShare * Sample;
+  if (Result == DeliveryResult::Succeeded) {
+    const double Sample = static_cast<double>(Latency.count());
+    Released.LatencyMs = Released.LatencyMs == 0
+                             ? Sample
+                             : (1 - LatencyEwmaWeight) * Released.LatencyMs +
+                                   LatencyEwmaWeight * Sample;
     Released.FailuresInRow = 0;
     Released.EjectedFor = Milliseconds(0);
-  } else if (Mark == DeliveryMark::Failed) {
+  } else if (Result == DeliveryResult::Failed) {
     noteFailure(Released, monotonicNow());
   }
-  serveWaiters();
+  grantWaiters();
 }
 
 void MinionPool::membersChanged() {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  const auto Alive = Known.alive(wire::MINION, Milliseconds(Of.MinionSilenceMs),
-                                 monotonicNow());
-  std::map<std::string, Minion> Kept;
+  const auto Alive = Membership.alive(
+      wire::MINION, Milliseconds(Options.MinionSilenceMs), monotonicNow());
+  std::map<std::string, Minion> Remaining;
   for (const auto &Each : Alive) {
     const std::string &Node = Each.Beat.node();
     Minion &State = Minions[Node];
     const std::uint32_t Reported = Each.Beat.minion().in_flight();
-    State.Foreign = Reported > State.Own ? Reported - State.Own : 0;
-    Kept[Node] = State;
+    State.InFlightElsewhere =
+        Reported > State.InFlightHere ? Reported - State.InFlightHere : 0;
+    Remaining[Node] = State;
   }
   for (const auto &[Node, State] : Minions)
-    if (State.Own > 0)
-      Kept[Node] = State;
-  Minions = std::move(Kept);
-  serveWaiters();
+    if (State.InFlightHere > 0)
+      Remaining[Node] = State;
+  Minions = std::move(Remaining);
+  grantWaiters();
 }
 
-void MinionPool::serveWaiters() {
+void MinionPool::grantWaiters() {
   std::vector<Waiter *> Order(Waiters.begin(), Waiters.end());
-  std::sort(Order.begin(), Order.end(), [&](Waiter *L, Waiter *R) {
-    const auto Under = [&](Waiter *W) {
-      const auto Found = ByWorkspace.find(W->Wanted->Workspace);
+  std::sort(Order.begin(), Order.end(), [&](Waiter *Lhs, Waiter *Rhs) {
+    const auto InFlight = [&](Waiter *Waiting) {
+      const auto Found = ByWorkspace.find(Waiting->Request->Workspace);
       return Found == ByWorkspace.end() ? 0U : Found->second;
     };
-    const std::uint32_t Left = Under(L);
-    const std::uint32_t Right = Under(R);
-    return Left != Right ? Left < Right : L->Number < R->Number;
+    const std::uint32_t LhsInFlight = InFlight(Lhs);
+    const std::uint32_t RhsInFlight = InFlight(Rhs);
+    return LhsInFlight != RhsInFlight ? LhsInFlight < RhsInFlight
+                                      : Lhs->Number < Rhs->Number;
   });
   for (Waiter *Each : Order) {
-    if (pick(*Each->Wanted, Each->Member) != Pick::Found)
+    if (pick(*Each->Request, Each->Member) != Pick::Found)
       continue;
-    take(Each->Member.Beat.node(), Each->Wanted->Workspace);
+    reserveSlot(Each->Member.Beat.node(), Each->Request->Workspace);
     Each->Granted = true;
     Waiters.remove(Each);
     Each->Ready.notify_one();
--- a/src/entry/MinionPool.h
+++ b/src/entry/MinionPool.h
@@ -1,6 +1,3 @@
-/// \file
-/// Which minion gets the next request, and who waits for a slot.
-
 #ifndef BAOBABCOVE_ENTRY_MINIONPOOL_H
 #define BAOBABCOVE_ENTRY_MINIONPOOL_H
 
@@ -19,42 +16,44 @@
 
 namespace baobabcove {
 
-/// What a request needs of a minion.
+/// The requirements of a request on a minion.
 struct SlotRequest {
   std::string Service;
   std::string Workspace;
-  /// Minions that have been tried.
+  /// Minions that have already been tried.
   std::set<std::string> Excluded;
   Instant Deadline;
 };
 
-/// How a delivery to a minion ended, as far as it tells of the minion.
-enum class DeliveryMark { Good, Refused, Failed };
+/// Result of a delivery as a signal of the minion's health.
+enum class DeliveryResult { Succeeded, Refused, Failed };
 
-/// Chooses among the live minions of a service by distance, free slots and
-/// recent latency, and never sends more than a minion has slots. When all
-/// slots are taken, requests wait, those of the workspace with the fewest
-/// requests under way first. When the queue is full as well, the workspace with
-/// the most requests is refused. Thread-safe.
+/// Load balancer over the live minions of each service. Chooses a minion by
+/// distance, free slots and recent latency, and never sends a minion more
+/// requests than it has slots. When all slots are in use, requests wait; the
+/// workspace with the fewest requests in flight is served first. When the queue
+/// is also full, a request of the workspace with the most requests is refused.
+/// Thread-safe.
 class MinionPool {
 public:
-  MinionPool(const Settings &Of, const Members &Known);
+  MinionPool(const Settings &Options, const Members &Membership);
 
   /// Waits for a slot and takes it. Fails with NoMinion, Overloaded or
-  /// DeadlineBeforeStart; nothing was sent then. A pool that has just begun
-  /// waits for minions to announce themselves before it says NoMinion.
-  Expected<MemberRecord> acquire(const SlotRequest &Wanted);
+  /// DeadlineBeforeStart, in which case nothing was sent. During warm-up it
+  /// waits for heartbeats of minions before it fails with NoMinion.
+  Expected<MemberRecord> acquire(const SlotRequest &Request);
 
-  /// Counts a request that goes to one given minion without waiting.
-  void occupy(const std::string &Node, const std::string &Workspace);
+  /// Takes a slot of the given minion without waiting, even if none is free.
+  void occupySlot(const std::string &Node, const std::string &Workspace);
 
-  /// Gives the slot back. \p ReportedInFlight is what the agent said of its
-  /// requests under way, or negative when it said nothing.
+  /// Releases a slot. \p ReportedInFlight is the number of requests in flight
+  /// that the agent reported, or negative if it reported none.
   void release(const std::string &Node, const std::string &Workspace,
-               DeliveryMark Mark, Milliseconds Took, int ReportedInFlight);
+               DeliveryResult Result, Milliseconds Latency,
+               int ReportedInFlight);
 
-  /// Looks again whether somebody who waits can be served. Call it when
-  /// members have changed.
+  /// Updates the load of the minions from their heartbeats and serves waiting
+  /// requests. Call it when the members have changed.
   void membersChanged();
 
   std::size_t waiting() const;
@@ -62,8 +61,11 @@
 
 private:
   struct Minion {
-    std::uint32_t Own = 0;
-    std::uint32_t Foreign = 0;
+    /// Requests in flight from this entry.
+    std::uint32_t InFlightHere = 0;
+    /// Requests in flight from other entries, as last reported by the agent.
+    std::uint32_t InFlightElsewhere = 0;
+    /// Exponentially weighted moving average.
     double LatencyMs = 0;
     std::uint32_t FailuresInRow = 0;
     Instant EjectedUntil;
@@ -71,7 +73,7 @@
   };
 
   struct Waiter {
-    const SlotRequest *Wanted = nullptr;
+    const SlotRequest *Request = nullptr;
     std::uint64_t Number = 0;
     bool Granted = false;
     bool Refused = false;
@@ -80,28 +82,28 @@
   };
 
   enum class Pick { Found, AllBusy, None };
-  Pick pick(const SlotRequest &Wanted, MemberRecord &Chosen);
+  Pick pick(const SlotRequest &Request, MemberRecord &Chosen);
   double score(const MemberRecord &Candidate, double MedianLatency) const;
   int distance(const MemberRecord &Candidate) const;
   bool ejected(const std::string &Node, Instant Now) const;
-  std::uint32_t busy(const std::string &Node) const;
-  void serveWaiters();
-  std::size_t roomFor(const std::string &Service, Instant Now) const;
+  std::uint32_t slotsInUse(const std::string &Node) const;
+  void grantWaiters();
+  std::size_t queueLimit(const std::string &Service, Instant Now) const;
   std::size_t slotsOf(const std::string &Service) const;
-  std::size_t load(const std::string &Workspace) const;
-  bool makeRoomFor(const std::string &Workspace);
-  void take(const std::string &Node, const std::string &Workspace);
-  void noteFailure(Minion &Of, Instant Now);
-
-  const Settings &Of;
-  const Members &Known;
-  const Instant WarmUntil;
+  std::size_t requestCount(const std::string &Workspace) const;
+  bool evictWaiterFor(const std::string &Workspace);
+  void reserveSlot(const std::string &Node, const std::string &Workspace);
+  void noteFailure(Minion &Failed, Instant Now);
+
+  const Settings &Options;
+  const Members &Membership;
+  const Instant WarmUpEnd;
   mutable std::mutex Mutex;
   std::map<std::string, Minion> Minions;
   std::map<std::string, std::uint32_t> ByWorkspace;
   std::list<Waiter *> Waiters;
   std::uint64_t NextNumber = 0;
-  std::minstd_rand Dice;
+  std::minstd_rand Rng;
 };
 
 } // namespace baobabcove
--- a/src/entry/RequestApi.cpp
+++ b/src/entry/RequestApi.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint32_t MaxDeadlineMs = 600000;
 constexpr std::size_t MaxKeyBytes = 200;
 
-bool isReadable(const std::string &Key) {
+bool isValidKey(const std::string &Key) {
   return Key.size() <= MaxKeyBytes &&
          std::all_of(Key.begin(), Key.end(),
                      [](unsigned char C) { return C > ' ' && C < 127; });
@@ -44,36 +44,39 @@
 
 } // namespace
 
-Expected<void> RequestApi::checkLimit(const std::string &Workspace) const {
-  const auto Present = Context.Keeper.current();
-  const auto Found = Present->Workspaces.find(Workspace);
-  if (Found == Present->Workspaces.end())
+Expected<void>
+RequestApi::checkRequestLimit(const std::string &Workspace) const {
+  const auto CurrentConfig = Context.ActiveConfig.current();
+  const auto Found = CurrentConfig->Workspaces.find(Workspace);
+  if (Found == CurrentConfig->Workspaces.end())
     return failure(ResultCode::UnknownWorkspace,
                    "There is no workspace " + Workspace + ".");
-  // The limit is for the deployment; each entry keeps its share of it.
+  // The limit applies to the whole deployment; each entry enforces an equal
+  // share of it.
   const std::size_t Entries =
-      1 + Context.Known
-              .alive(wire::ENTRY, Milliseconds(Context.Of.MinionSilenceMs),
+      1 + Context.Membership
+              .alive(wire::ENTRY, Milliseconds(Context.Options.MinionSilenceMs),
                      monotonicNow())
               .size();
   const std::size_t Share = std::max<std::size_t>(
       1, (Found->second.MaxRequests + Entries - 1) / Entries);
-  if (Context.Routes.pool().inFlight(Workspace) >= Share)
+  if (Context.RequestRouter.pool().inFlight(Workspace) >= Share)
     return failure(ResultCode::WorkspaceLimit,
-                   "The workspace has " + std::to_string(Share) +
-                       " requests under way here, as many as it may.");
+                   "The workspace has reached its limit of " +
+                       std::to_string(Share) +
+                       " requests in flight at this entry.");
   return {};
 }
 
-Expected<RouteRequest> RequestApi::read(const HttpRequest &Request,
-                                        const std::string &Service,
-                                        const Identity &Sender) {
+Expected<RouteRequest> RequestApi::parseRequest(const HttpRequest &Request,
+                                                const std::string &Service,
+                                                const Identity &Sender) {
   if (Sender.Workspace.empty())
     return failure(ResultCode::WrongWorkspace,
-                   "Requests are sent with a workspace's token.");
-  const auto Present = Context.Keeper.current();
-  const auto Found = Present->Services.find(Service);
-  if (Found == Present->Services.end())
+                   "Sending a request requires a workspace token.");
+  const auto CurrentConfig = Context.ActiveConfig.current();
+  const auto Found = CurrentConfig->Services.find(Service);
+  if (Found == CurrentConfig->Services.end())
     return failure(ResultCode::UnknownService,
                    "There is no service " + Service + ".");
   const auto Deadline =
@@ -85,7 +88,7 @@
   if (!Idempotent)
     return tl::unexpected<Error>(Idempotent.error());
   const std::string Key = Request.header("idempotency-key");
-  if (!isReadable(Key))
+  if (!isValidKey(Key))
     return failure(ResultCode::MalformedRequest,
                    "Idempotency-Key must be at most " +
                        std::to_string(MaxKeyBytes) +
@@ -94,12 +97,13 @@
   Result.Deadline = monotonicNow() + Milliseconds(*Deadline);
   Result.Keyed = !Key.empty();
   Result.Message.set_workspace(Sender.Workspace);
-  // A caller's own request id is only echoed: two callers may use the same.
-  Result.Message.set_request_id(Result.Keyed
-                                    ? Key
-                                    : "r~" + Context.Of.Node + "~" +
-                                          std::to_string(Context.Incarnation) +
-                                          "~" + std::to_string(NextNumber++));
+  // The caller's X-Request-Id is only echoed and never used as the id: two
+  // callers may send the same value.
+  Result.Message.set_request_id(
+      Result.Keyed ? Key
+                   : "r~" + Context.Options.Node + "~" +
+                         std::to_string(Context.Incarnation) + "~" +
+                         std::to_string(NextRequestNumber++));
   Result.Message.set_service(Service);
   Result.Message.set_body(Request.Body);
   Result.Message.set_idempotent(*Idempotent);
@@ -109,27 +113,27 @@
 
 HttpResponse RequestApi::send(const HttpRequest &Request,
                               const std::string &Service) {
-  const auto Sender = identify(Request, *Context.Keeper.current());
+  const auto Sender = authenticate(Request, *Context.ActiveConfig.current());
   if (!Sender)
     return refusal(Sender.error());
-  const auto Read = read(Request, Service, *Sender);
+  const auto Read = parseRequest(Request, Service, *Sender);
   if (!Read)
     return refusal(Read.error());
-  if (auto Allowed = checkLimit(Sender->Workspace); !Allowed)
+  if (auto Allowed = checkRequestLimit(Sender->Workspace); !Allowed)
     return refusal(Allowed.error());
-  const Instant Began = monotonicNow();
-  const wire::ExecuteReply Reply = Context.Routes.route(*Read);
-  Context.Figures.count("requests");
-  Context.Figures.sample("request_ms",
-                         static_cast<double>((monotonicNow() - Began).count()));
-  return answer(Reply, Request.header("x-request-id"));
+  const Instant StartedAt = monotonicNow();
+  const wire::ExecuteReply Reply = Context.RequestRouter.route(*Read);
+  Context.Stats.count("requests");
+  Context.Stats.sample(
+      "request_ms", static_cast<double>((monotonicNow() - StartedAt).count()));
+  return toResponse(Reply, Request.header("x-request-id"));
 }
 
-HttpResponse RequestApi::answer(const wire::ExecuteReply &Reply,
-                                const std::string &RequestId) const {
+HttpResponse RequestApi::toResponse(const wire::ExecuteReply &Reply,
+                                    const std::string &RequestId) const {
   const auto Code = static_cast<ResultCode>(Reply.code());
-  Context.Figures.count("outcome_" +
-                        std::string(outcomeName(resultInfo(Code).Ran)));
+  Context.Stats.count("outcome_" +
+                      std::string(outcomeName(resultInfo(Code).Ran)));
   HttpResponse Response;
   if (Code == ResultCode::Ok) {
     Response.Status = static_cast<int>(Reply.http_status());
@@ -146,21 +150,22 @@
 
 HttpResponse RequestApi::ticket(const HttpRequest &Request,
                                 const std::string &Service) {
-  const auto Sender = identify(Request, *Context.Keeper.current());
+  const auto Sender = authenticate(Request, *Context.ActiveConfig.current());
   if (!Sender)
     return refusal(Sender.error());
-  if (Context.Keeper.current()->Services.count(Service) == 0)
+  if (Context.ActiveConfig.current()->Services.count(Service) == 0)
     return refusal(ResultCode::UnknownService,
                    "There is no service " + Service + ".");
   SlotRequest Wanted{
       Service, Sender->Workspace, {}, monotonicNow() + Milliseconds(1000)};
-  const auto To = Context.Routes.pool().acquire(Wanted);
-  if (!To)
-    return refusal(To.error());
-  Context.Routes.pool().release(To->Beat.node(), Sender->Workspace,
-                                DeliveryMark::Refused, Milliseconds(0), -1);
+  const auto Agent = Context.RequestRouter.pool().acquire(Wanted);
+  if (!Agent)
+    return refusal(Agent.error());
+  Context.RequestRouter.pool().release(Agent->Beat.node(), Sender->Workspace,
+                                       DeliveryResult::Refused, Milliseconds(0),
+                                       -1);
   auto Body = makeDump();
-  Body->set("ticket", KeyClaims::makeTicket(*To));
+  Body->set("ticket", ClaimStore::makeTicket(*Agent));
   HttpResponse Response;
   Response.Body = dumpText(Body);
   return Response;
--- a/src/entry/RequestApi.h
+++ b/src/entry/RequestApi.h
@@ -1,6 +1,3 @@
-/// \file
-/// Callers' synchronous requests, and tickets for them.
-
 #ifndef BAOBABCOVE_ENTRY_REQUESTAPI_H
 #define BAOBABCOVE_ENTRY_REQUESTAPI_H
 
@@ -10,7 +7,8 @@
 
 namespace baobabcove {
 
-/// Turns HTTP requests into routed ones and outcomes into HTTP answers.
+/// HTTP handlers for synchronous requests and tickets. Converts between HTTP
+/// and the messages of the router.
 class RequestApi {
 public:
   explicit RequestApi(EntryContext &Context) : Context(Context) {}
@@ -22,15 +20,15 @@
   HttpResponse ticket(const HttpRequest &Request, const std::string &Service);
 
 private:
-  Expected<RouteRequest> read(const HttpRequest &Request,
-                              const std::string &Service,
-                              const Identity &Sender);
-  Expected<void> checkLimit(const std::string &Workspace) const;
-  HttpResponse answer(const wire::ExecuteReply &Reply,
-                      const std::string &RequestId) const;
+  Expected<RouteRequest> parseRequest(const HttpRequest &Request,
+                                      const std::string &Service,
+                                      const Identity &Sender);
+  Expected<void> checkRequestLimit(const std::string &Workspace) const;
+  HttpResponse toResponse(const wire::ExecuteReply &Reply,
+                          const std::string &RequestId) const;
 
   EntryContext &Context;
-  std::atomic<std::uint64_t> NextNumber{1};
+  std::atomic<std::uint64_t> NextRequestNumber{1};
 };
 
 } // namespace baobabcove
--- a/src/entry/RetryBudget.h
+++ b/src/entry/RetryBudget.h
@@ -1,6 +1,3 @@
-/// \file
-/// Keeps retries a bounded share of all requests.
-
 #ifndef BAOBABCOVE_ENTRY_RETRYBUDGET_H
 #define BAOBABCOVE_ENTRY_RETRYBUDGET_H
 
@@ -9,20 +6,21 @@
 
 namespace baobabcove {
 
-/// Each request earns a part of a retry, each retry spends one. After the
-/// retry budget of Finagle. Thread-safe.
+/// Bounds retries to a share of all requests: each request deposits a fraction
+/// of a retry, each retry withdraws one. After the retry budget of Finagle.
+/// Thread-safe.
 class RetryBudget {
 public:
-  /// \p Percent retries for each hundred requests.
-  explicit RetryBudget(double Percent) : Share(Percent / 100) {}
+  /// \p Percent is the number of retries per hundred requests.
+  explicit RetryBudget(double Percent) : RetriesPerRequest(Percent / 100) {}
 
-  void earn() {
+  void deposit() {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    Balance = std::min(MostSaved, Balance + Share);
+    Balance = std::min(MaxBalance, Balance + RetriesPerRequest);
   }
 
-  /// Takes one retry; returns false when none is left.
-  bool spend() {
+  /// Withdraws one retry; returns false when the budget is exhausted.
+  bool tryWithdraw() {
     const std::lock_guard<std::mutex> Lock(Mutex);
     if (Balance < 1)
       return false;
@@ -31,12 +29,12 @@
   }
 
 private:
-  static constexpr double MostSaved = 100;
-  static constexpr double FirstBalance = 10;
+  static constexpr double MaxBalance = 100;
+  static constexpr double InitialBalance = 10;
 
   std::mutex Mutex;
-  const double Share;
-  double Balance = FirstBalance;
+  const double RetriesPerRequest;
+  double Balance = InitialBalance;
 };
 
 } // namespace baobabcove
--- a/src/entry/Router.cpp
+++ b/src/entry/Router.cpp
@@ -6,33 +6,33 @@
 
 namespace {
 
-/// Added to the deadline when waiting for an agent, which keeps the deadline
-/// itself and answers by then.
+/// Added to the deadline of a call to an agent, which enforces the deadline
+/// itself and needs this time to answer.
 constexpr Milliseconds AnswerGrace{250};
-constexpr Milliseconds AskPatience{1500};
-constexpr Milliseconds AskPause{100};
-constexpr Milliseconds AgentPatience{3000};
-/// Time for which the outcome is asked for after the deadline has passed.
-constexpr Milliseconds AskGrace{2000};
+constexpr Milliseconds OutcomeQueryTimeout{1500};
+constexpr Milliseconds PollPause{100};
+constexpr Milliseconds AgentWaitTimeout{3000};
+/// Time after the deadline in which the outcome is still queried.
+constexpr Milliseconds OutcomeQueryGrace{2000};
 constexpr int MaxAttempts = 4;
 
 ResultCode codeOf(const wire::ExecuteReply &Reply) {
   return static_cast<ResultCode>(Reply.code());
 }
 
-wire::ExecuteReply replyOf(const Error &Fault) {
+wire::ExecuteReply replyOf(const Error &Err) {
   wire::ExecuteReply Reply;
-  Reply.set_code(static_cast<std::uint32_t>(Fault.Code));
-  Reply.set_detail(Fault.Detail);
+  Reply.set_code(static_cast<std::uint32_t>(Err.Code));
+  Reply.set_detail(Err.Detail);
   return Reply;
 }
 
-bool hasNotRun(const wire::ExecuteReply &Reply) {
+bool didNotRun(const wire::ExecuteReply &Reply) {
   return resultInfo(codeOf(Reply)).Ran == Outcome::NotRun;
 }
 
-/// Refusals that another minion may not share.
-bool isOfThisMinion(ResultCode Code) {
+/// Returns whether another minion may accept a request refused with \p Code.
+bool isMinionSpecific(ResultCode Code) {
   switch (Code) {
   case ResultCode::Overloaded:
   case ResultCode::Draining:
@@ -46,20 +46,20 @@
   }
 }
 
-DeliveryMark markOf(const wire::ExecuteReply &Reply) {
+DeliveryResult deliveryResultOf(const wire::ExecuteReply &Reply) {
   switch (codeOf(Reply)) {
   case ResultCode::Ok:
   case ResultCode::KeyReused:
-    return DeliveryMark::Good;
+    return DeliveryResult::Succeeded;
   case ResultCode::MinionFailed:
   case ResultCode::AgentLost:
   case ResultCode::NoMinion:
   case ResultCode::Withdrawn:
   case ResultCode::PeerNotConnected:
   case ResultCode::DeadlineAfterStart:
-    return DeliveryMark::Failed;
+    return DeliveryResult::Failed;
   default:
-    return DeliveryMark::Refused;
+    return DeliveryResult::Refused;
   }
 }
 
@@ -69,53 +69,53 @@
 
 } // namespace
 
-Router::Router(const Settings &Of, const Members &Known, RpcPeers &Peers,
-               KeyClaims &Claims, Metrics &Figures)
-    : Of(Of), Known(Known), Peers(Peers), Claims(Claims), Figures(Figures),
-      Pool(Of, Known), Budget(Of.RetryPercent) {}
+Router::Router(const Settings &Options, const Members &Membership,
+               RpcPeers &Peers, ClaimStore &Claims, Metrics &Stats)
+    : Options(Options), Membership(Membership), Peers(Peers), Claims(Claims),
+      Stats(Stats), Pool(Options, Membership), Budget(Options.RetryPercent) {}
 
 wire::ExecuteReply Router::route(RouteRequest Request) {
-  Budget.earn();
+  Budget.deposit();
   const std::string &Id = Request.Message.request_id();
-  if (const auto Ticket = KeyClaims::readTicket(Id))
+  if (const auto Ticket = ClaimStore::parseTicket(Id))
     return routePinned(Request, *Ticket);
   if (Request.Keyed && !Request.Message.idempotent())
     return routeClaimed(Request);
-  return routeFree(Request);
+  return routeToAny(Request);
 }
 
-bool Router::mayTryElsewhere(const wire::ExecuteReply &Reply,
-                             const RouteRequest &Request) {
+bool Router::mayRetry(const wire::ExecuteReply &Reply,
+                      const RouteRequest &Request) {
   if (remaining(Request).count() == 0)
     return false;
-  const bool Useful = hasNotRun(Reply)
-                          ? isOfThisMinion(codeOf(Reply))
-                          : resultInfo(codeOf(Reply)).Ran == Outcome::Unknown &&
-                                Request.Message.idempotent();
-  if (!Useful)
+  const bool Retryable =
+      didNotRun(Reply) ? isMinionSpecific(codeOf(Reply))
+                       : resultInfo(codeOf(Reply)).Ran == Outcome::Unknown &&
+                             Request.Message.idempotent();
+  if (!Retryable)
     return false;
-  if (Budget.spend()) {
-    Figures.count("retries");
+  if (Budget.tryWithdraw()) {
+    Stats.count("retries");
     return true;
   }
-  Figures.count("retries_refused_by_budget");
+  Stats.count("retries_refused_by_budget");
   return false;
 }
 
-wire::ExecuteReply Router::routeFree(RouteRequest &Request) {
+wire::ExecuteReply Router::routeToAny(RouteRequest &Request) {
   SlotRequest Wanted{Request.Message.service(),
                      Request.Message.workspace(),
                      {},
                      Request.Deadline};
   wire::ExecuteReply Reply;
   for (int Tries = 0; Tries < MaxAttempts; ++Tries) {
-    const auto To = Pool.acquire(Wanted);
-    if (!To)
-      return Tries == 0 ? replyOf(To.error()) : Reply;
-    Reply = deliverCounted(*To, Request);
-    if (codeOf(Reply) == ResultCode::Ok || !mayTryElsewhere(Reply, Request))
+    const auto Agent = Pool.acquire(Wanted);
+    if (!Agent)
+      return Tries == 0 ? replyOf(Agent.error()) : Reply;
+    Reply = deliverCounted(*Agent, Request);
+    if (codeOf(Reply) == ResultCode::Ok || !mayRetry(Reply, Request))
       return Reply;
-    Wanted.Excluded.insert(To->Beat.node());
+    Wanted.Excluded.insert(Agent->Beat.node());
   }
   return Reply;
 }
@@ -125,136 +125,141 @@
   const std::string &Key = Request.Message.request_id();
   SlotRequest Wanted{
       Request.Message.service(), Workspace, {}, Request.Deadline};
-  auto Present = Claims.find(Workspace, Key);
-  if (!Present)
-    return replyOf(Present.error());
+  auto Current = Claims.find(Workspace, Key);
+  if (!Current)
+    return replyOf(Current.error());
   std::int64_t Revision = 0;
   wire::ExecuteReply Reply;
   for (int Tries = 0; Tries < MaxAttempts; ++Tries) {
-    if (*Present) {
-      Reply = routePinned(Request, (*Present)->Claim);
-      Revision = (*Present)->Revision;
-      MemberRecord Held;
-      // The key may go to another agent once this one will never run it.
-      if (!hasNotRun(Reply) || !isOfThisMinion(codeOf(Reply)) ||
-          !Known.find(NodeId((*Present)->Claim.node()), Held) ||
-          !bar(Held, Request) || !mayTryElsewhere(Reply, Request))
+    if (*Current) {
+      Reply = routePinned(Request, (*Current)->Claim);
+      Revision = (*Current)->Revision;
+      MemberRecord Holder;
+      // Another agent may claim the key only after the present holder has
+      // confirmed that it will never run the request.
+      if (!didNotRun(Reply) || !isMinionSpecific(codeOf(Reply)) ||
+          !Membership.find(NodeId((*Current)->Claim.node()), Holder) ||
+          !withdraw(Holder, Request) || !mayRetry(Reply, Request))
         return Reply;
-      Wanted.Excluded.insert(Held.Beat.node());
+      Wanted.Excluded.insert(Holder.Beat.node());
     }
-    // The slot is only to choose the agent; the pinned delivery counts itself.
-    const auto To = Pool.acquire(Wanted);
-    if (!To)
-      return Tries == 0 || Reply.code() == 0 ? replyOf(To.error()) : Reply;
-    const auto Held = Claims.claim(Workspace, Key, *To, Revision);
-    Pool.release(To->Beat.node(), Workspace, DeliveryMark::Refused,
+    // The slot is acquired only to choose the agent; routePinned takes its own.
+    const auto Agent = Pool.acquire(Wanted);
+    if (!Agent)
+      return Tries == 0 || Reply.code() == 0 ? replyOf(Agent.error()) : Reply;
+    const auto Claimed = Claims.claim(Workspace, Key, *Agent, Revision);
+    Pool.release(Agent->Beat.node(), Workspace, DeliveryResult::Refused,
                  Milliseconds(0), -1);
-    if (!Held)
-      return replyOf(Held.error());
-    *Present = *Held;
+    if (!Claimed)
+      return replyOf(Claimed.error());
+    *Current = *Claimed;
   }
   return Reply;
 }
 
-/// An entry that has just begun has not heard of every agent yet.
+/// Waits until the agent is known: an entry that has just started has not
+/// received a heartbeat of every agent yet.
 bool Router::waitForAgent(const RouteRequest &Request, const std::string &Node,
                           MemberRecord &Found) const {
-  const Instant GiveUp =
-      std::min(Request.Deadline, monotonicNow() + AgentPatience);
-  while (!Known.find(NodeId(Node), Found)) {
-    if (monotonicNow() >= GiveUp)
+  const Instant WaitDeadline =
+      std::min(Request.Deadline, monotonicNow() + AgentWaitTimeout);
+  while (!Membership.find(NodeId(Node), Found)) {
+    if (monotonicNow() >= WaitDeadline)
       return false;
-    std::this_thread::sleep_for(AskPause);
+    std::this_thread::sleep_for(PollPause);
   }
   return true;
 }
 
 wire::ExecuteReply Router::routePinned(RouteRequest &Request,
                                        const wire::RequestClaim &Pin) {
-  MemberRecord To;
-  if (!waitForAgent(Request, Pin.node(), To))
+  MemberRecord Agent;
+  if (!waitForAgent(Request, Pin.node(), Agent))
     return replyOf({ResultCode::AgentLost,
-                    "The agent " + Pin.node() + " is not known here."});
+                    "The agent " + Pin.node() + " is unknown to this entry."});
   Request.Message.set_pinned_incarnation(Pin.incarnation());
   Request.Message.set_pinned_period(Pin.period());
-  Pool.occupy(To.Beat.node(), Request.Message.workspace());
-  return deliverCounted(To, Request);
+  Pool.occupySlot(Agent.Beat.node(), Request.Message.workspace());
+  return deliverCounted(Agent, Request);
 }
 
-wire::ExecuteReply Router::deliverCounted(const MemberRecord &To,
+wire::ExecuteReply Router::deliverCounted(const MemberRecord &Agent,
                                           RouteRequest &Request) {
-  const Instant Began = monotonicNow();
-  wire::ExecuteReply Reply = deliver(To, Request);
-  const bool Said = Reply.slots() > 0;
-  Pool.release(To.Beat.node(), Request.Message.workspace(), markOf(Reply),
-               monotonicNow() - Began,
-               Said ? static_cast<int>(Reply.in_flight()) : -1);
+  const Instant StartedAt = monotonicNow();
+  wire::ExecuteReply Reply = deliver(Agent, Request);
+  const bool LoadReported = Reply.slots() > 0;
+  Pool.release(Agent.Beat.node(), Request.Message.workspace(),
+               deliveryResultOf(Reply), monotonicNow() - StartedAt,
+               LoadReported ? static_cast<int>(Reply.in_flight()) : -1);
   return Reply;
 }
 
-wire::ExecuteReply Router::deliver(const MemberRecord &To,
+wire::ExecuteReply Router::deliver(const MemberRecord &Agent,
                                    RouteRequest &Request) {
-  const Milliseconds Left = remaining(Request);
-  if (Left.count() == 0)
+  const Milliseconds TimeLeft = remaining(Request);
+  if (TimeLeft.count() == 0)
     return replyOf({ResultCode::DeadlineBeforeStart,
-                    "The deadline passed before it was sent."});
-  Request.Message.set_deadline_ms(static_cast<std::uint32_t>(Left.count()));
-  Figures.count("deliveries");
-  const auto Reply =
-      Peers.execute(To.Beat.rpc_address(), Request.Message, Left + AnswerGrace);
+                    "The deadline passed before the request was sent."});
+  Request.Message.set_deadline_ms(static_cast<std::uint32_t>(TimeLeft.count()));
+  Stats.count("deliveries");
+  const auto Reply = Peers.execute(Agent.Beat.rpc_address(), Request.Message,
+                                   TimeLeft + AnswerGrace);
   if (Reply)
     return *Reply;
   if (Reply.error().Code == ResultCode::PeerNotConnected)
     return replyOf(Reply.error());
-  return askOutcome(To, Request);
+  return queryOutcome(Agent, Request);
 }
 
-/// The connection broke with the request on it. The agent, asked by id on a
-/// new one, tells how it ended, or bars it from running late.
-wire::ExecuteReply Router::askOutcome(const MemberRecord &To,
-                                      RouteRequest &Request) {
-  Figures.count("outcomes_asked");
-  wire::ExecuteRequest Question = Request.Message;
-  Question.clear_body();
-  Question.set_ask_only(true);
-  if (Question.pinned_incarnation() == 0) {
-    Question.set_pinned_incarnation(To.Beat.incarnation());
-    Question.set_pinned_period(To.Beat.minion().outcome_period());
+/// Queries the outcome of a request whose connection broke while it was in
+/// flight. The agent, asked by request id on a new connection, returns the
+/// outcome or withdraws the request, so that it does not run later.
+wire::ExecuteReply Router::queryOutcome(const MemberRecord &Agent,
+                                        RouteRequest &Request) {
+  Stats.count("outcomes_asked");
+  wire::ExecuteRequest Query = Request.Message;
+  Query.clear_body();
+  Query.set_ask_only(true);
+  if (Query.pinned_incarnation() == 0) {
+    Query.set_pinned_incarnation(Agent.Beat.incarnation());
+    Query.set_pinned_period(Agent.Beat.minion().outcome_period());
   }
-  const Instant GiveUp = Request.Deadline + AskGrace;
-  Peers.forget(To.Beat.rpc_address());
-  while (monotonicNow() < GiveUp) {
-    const Milliseconds Patience =
-        std::min(AskPatience, GiveUp - monotonicNow());
-    Question.set_deadline_ms(static_cast<std::uint32_t>(
-        std::max(Patience - AnswerGrace, Milliseconds(1)).count()));
-    const auto Answer =
-        Peers.execute(To.Beat.rpc_address(), Question, Patience);
+  const Instant WaitDeadline = Request.Deadline + OutcomeQueryGrace;
+  Peers.forget(Agent.Beat.rpc_address());
+  while (monotonicNow() < WaitDeadline) {
+    const Milliseconds Timeout =
+        std::min(OutcomeQueryTimeout, WaitDeadline - monotonicNow());
+    Query.set_deadline_ms(static_cast<std::uint32_t>(
+        std::max(Timeout - AnswerGrace, Milliseconds(1)).count()));
+    const auto Answer = Peers.execute(Agent.Beat.rpc_address(), Query, Timeout);
     if (Answer && codeOf(*Answer) != ResultCode::DeadlineAfterStart)
       return *Answer;
     if (!Answer)
-      Peers.forget(To.Beat.rpc_address());
-    MemberRecord Present;
-    const bool Replaced = Known.find(NodeId(To.Beat.node()), Present) &&
-                          Present.Beat.incarnation() != To.Beat.incarnation();
-    const bool Silent =
-        monotonicNow() - Present.HeardAt > Milliseconds(Of.MinionSilenceMs);
-    if (!Answer && (Replaced || Silent))
+      Peers.forget(Agent.Beat.rpc_address());
+    MemberRecord Current;
+    const bool Replaced =
+        Membership.find(NodeId(Agent.Beat.node()), Current) &&
+        Current.Beat.incarnation() != Agent.Beat.incarnation();
+    const bool HeartbeatStale = monotonicNow() - Current.HeardAt >
+                                Milliseconds(Options.MinionSilenceMs);
+    if (!Answer && (Replaced || HeartbeatStale))
       break;
-    std::this_thread::sleep_for(AskPause);
+    std::this_thread::sleep_for(PollPause);
   }
-  return replyOf(
-      {ResultCode::AgentLost, "The agent was lost while it had the request."});
+  return replyOf({ResultCode::AgentLost,
+                  "The agent was lost while the request was in flight."});
 }
 
-/// Makes sure that the agent will not run the request any more.
-bool Router::bar(const MemberRecord &At, RouteRequest &Request) {
-  wire::ExecuteRequest Question = Request.Message;
-  Question.clear_body();
-  Question.set_ask_only(true);
-  Question.set_deadline_ms(static_cast<std::uint32_t>(AskPatience.count()));
-  const auto Answer =
-      Peers.execute(At.Beat.rpc_address(), Question, AskPatience + AnswerGrace);
+/// Withdraws the request from the agent. Returns whether the agent has
+/// confirmed that it will not run the request.
+bool Router::withdraw(const MemberRecord &Agent, RouteRequest &Request) {
+  wire::ExecuteRequest Query = Request.Message;
+  Query.clear_body();
+  Query.set_ask_only(true);
+  Query.set_deadline_ms(
+      static_cast<std::uint32_t>(OutcomeQueryTimeout.count()));
+  const auto Answer = Peers.execute(Agent.Beat.rpc_address(), Query,
+                                    OutcomeQueryTimeout + AnswerGrace);
   return Answer && codeOf(*Answer) == ResultCode::Withdrawn;
 }
 
--- a/src/entry/Router.h
+++ b/src/entry/Router.h
@@ -1,60 +1,60 @@
-/// \file
-/// Brings requests to minions and their answers back, honestly.
-
 #ifndef BAOBABCOVE_ENTRY_ROUTER_H
 #define BAOBABCOVE_ENTRY_ROUTER_H
 
 #include "base/Metrics.h"
 #include "config/Settings.h"
-#include "entry/KeyClaims.h"
+#include "entry/ClaimStore.h"
 #include "entry/MinionPool.h"
 #include "entry/RetryBudget.h"
 #include "rpc/Rpc.h"
 
 namespace baobabcove {
 
-/// A caller's request on its way.
+/// A caller's request to be routed.
 struct RouteRequest {
   wire::ExecuteRequest Message;
   Instant Deadline;
-  /// Whether the caller chose the request id, so that it may come again.
+  /// Whether the request id is the caller's idempotency key, so that the
+  /// request may be repeated.
   bool Keyed = false;
 };
 
-/// Routes requests. An answer, a proof that the request did not run, or
-/// "unknown": a request that is not idempotent is sent on only after the agent
-/// has said that it did not run and will not.
+/// Routes requests to minions. The result is an answer, a refusal of a request
+/// that did not run, or an unknown outcome. A request that is not idempotent is
+/// retried on another minion only when it was never sent, or when the agent has
+/// confirmed that it did not run and will not run.
 class Router {
 public:
-  Router(const Settings &Of, const Members &Known, RpcPeers &Peers,
-         KeyClaims &Claims, Metrics &Figures);
+  Router(const Settings &Options, const Members &Membership, RpcPeers &Peers,
+         ClaimStore &Claims, Metrics &Stats);
 
-  /// Carries the request to its end within its deadline.
+  /// Routes the request, with retries, and returns the final reply. Queries an
+  /// unknown outcome for a short time after the deadline.
   wire::ExecuteReply route(RouteRequest Request);
 
   MinionPool &pool() { return Pool; }
   const MinionPool &pool() const { return Pool; }
 
 private:
-  wire::ExecuteReply routeFree(RouteRequest &Request);
+  wire::ExecuteReply routeToAny(RouteRequest &Request);
   wire::ExecuteReply routeClaimed(RouteRequest &Request);
   wire::ExecuteReply routePinned(RouteRequest &Request,
                                  const wire::RequestClaim &Pin);
-  wire::ExecuteReply deliver(const MemberRecord &To, RouteRequest &Request);
-  wire::ExecuteReply askOutcome(const MemberRecord &To, RouteRequest &Request);
-  wire::ExecuteReply deliverCounted(const MemberRecord &To,
+  wire::ExecuteReply deliver(const MemberRecord &Agent, RouteRequest &Request);
+  wire::ExecuteReply queryOutcome(const MemberRecord &Agent,
+                                  RouteRequest &Request);
+  wire::ExecuteReply deliverCounted(const MemberRecord &Agent,
                                     RouteRequest &Request);
   bool waitForAgent(const RouteRequest &Request, const std::string &Node,
                     MemberRecord &Found) const;
-  bool bar(const MemberRecord &At, RouteRequest &Request);
-  bool mayTryElsewhere(const wire::ExecuteReply &Reply,
-                       const RouteRequest &Request);
+  bool withdraw(const MemberRecord &Agent, RouteRequest &Request);
+  bool mayRetry(const wire::ExecuteReply &Reply, const RouteRequest &Request);
 
-  const Settings &Of;
-  const Members &Known;
+  const Settings &Options;
+  const Members &Membership;
   RpcPeers &Peers;
-  KeyClaims &Claims;
-  Metrics &Figures;
+  ClaimStore &Claims;
+  Metrics &Stats;
   MinionPool Pool;
   RetryBudget Budget;
 };
--- a/src/http/Access.cpp
+++ b/src/http/Access.cpp
@@ -10,11 +10,11 @@
 
 } // namespace
 
-Expected<Identity> identify(const HttpRequest &Request,
-                            const Configuration &Present) {
+Expected<Identity> authenticate(const HttpRequest &Request,
+                                const Configuration &CurrentConfig) {
   static const std::string Scheme = "Bearer ";
-  // Before a process has its first configuration it knows no token at all.
-  if (Present.Operators.empty())
+  // No token is known before the first configuration has arrived.
+  if (CurrentConfig.Operators.empty())
     return failure(ResultCode::Starting,
                    "This instance has no configuration yet.");
   const std::string Header = Request.header("authorization");
@@ -23,11 +23,11 @@
                    "The request carries no bearer token.");
   const std::string Digest = sha256Hex(Header.substr(Scheme.size()));
   Identity Found;
-  // Every digest is compared, so that the time tells nothing of a match.
-  for (const auto &[Name, Operator] : Present.Operators)
+  // Compare every digest, so that the duration does not reveal a match.
+  for (const auto &[Name, Operator] : CurrentConfig.Operators)
     if (equalInConstantTime(Digest, Operator.TokenDigest))
       Found.Operator = Name;
-  for (const auto &[Name, Workspace] : Present.Workspaces)
+  for (const auto &[Name, Workspace] : CurrentConfig.Workspaces)
     for (const std::string &Token : Workspace.TokenDigests)
       if (equalInConstantTime(Digest, Token))
         Found.Workspace = Name;
@@ -37,11 +37,12 @@
   return Found;
 }
 
-Expected<Identity> identifyOperator(const HttpRequest &Request,
-                                    const Configuration &Present) {
-  auto Found = identify(Request, Present);
+Expected<Identity> authenticateOperator(const HttpRequest &Request,
+                                        const Configuration &CurrentConfig) {
+  auto Found = authenticate(Request, CurrentConfig);
   if (Found && !Found->isOperator())
-    return failure(ResultCode::WrongWorkspace, "Only operators may do this.");
+    return failure(ResultCode::WrongWorkspace,
+                   "Only operators may send this request.");
   return Found;
 }
 
--- a/src/http/Access.h
+++ b/src/http/Access.h
@@ -1,6 +1,3 @@
-/// \file
-/// Who may call: tokens of callers and operators.
-
 #ifndef BAOBABCOVE_HTTP_ACCESS_H
 #define BAOBABCOVE_HTTP_ACCESS_H
 
@@ -9,7 +6,7 @@
 
 namespace baobabcove {
 
-/// Who sent a request.
+/// The authenticated sender of a request.
 struct Identity {
   /// Name of the operator; empty for a caller.
   std::string Operator;
@@ -17,21 +14,23 @@
   std::string Workspace;
 
   bool isOperator() const { return !Operator.empty(); }
-  /// Whether work of \p Owner may be seen and changed.
-  bool maySee(const std::string &Owner) const {
+  /// Returns whether the sender may see and change the work of workspace
+  /// \p Owner.
+  bool mayAccess(const std::string &Owner) const {
     return isOperator() || Owner == Workspace;
   }
 };
 
-/// Finds the sender by its bearer token. Fails with MissingToken or
-/// WrongToken. All digests are compared in constant time.
-Expected<Identity> identify(const HttpRequest &Request,
-                            const Configuration &Present);
+/// Authenticates the sender by its bearer token. Fails with Starting before the
+/// first configuration, with MissingToken or with WrongToken. Token digests are
+/// compared in constant time.
+Expected<Identity> authenticate(const HttpRequest &Request,
+                                const Configuration &CurrentConfig);
 
-/// The same for a request that only operators may send; fails with
-/// WrongWorkspace for a caller's token.
-Expected<Identity> identifyOperator(const HttpRequest &Request,
-                                    const Configuration &Present);
+/// Authenticates the sender of a request that only operators may send. Also
+/// fails with WrongWorkspace for a caller's token.
+Expected<Identity> authenticateOperator(const HttpRequest &Request,
+                                        const Configuration &CurrentConfig);
 
 } // namespace baobabcove
 
--- a/src/http/HttpServer.cpp
+++ b/src/http/HttpServer.cpp
@@ -1,7 +1,7 @@
 #include "http/HttpServer.h"
 
 #include "base/Log.h"
-#include "http/ArrivalWatchdog.h"
+#include "http/ReceiveWatchdog.h"
 
 #include <algorithm>
 #include <thread>
@@ -23,17 +23,17 @@
 
 constexpr int ListenBacklog = 512;
 constexpr int ThreadStackBytes = 256 * 1024;
-/// Bytes of an oversized body that are read and thrown away, so that the
-/// sender sees the refusal instead of a broken connection.
-constexpr std::size_t DiscardedBytes = 8 << 20;
-constexpr std::size_t ReadBlock = 16384;
-constexpr Milliseconds DrainLook{10};
+/// Bytes of an oversized body that are read and discarded, so that the sender
+/// receives the error response instead of a connection reset.
+constexpr std::size_t MaxDiscardedBytes = 8 << 20;
+constexpr std::size_t ReadBlockBytes = 16384;
+constexpr Milliseconds DrainPollPeriod{10};
 
 Poco::Timespan timespan(Milliseconds Duration) {
   return Poco::Timespan(Poco::Timespan::TimeDiff(Duration.count()) * 1000);
 }
 
-/// What all connections of one server share.
+/// State shared by all connections of a server.
 struct ServerState {
   ServerState(HttpLimits Limits, HttpHandler Handler)
       : Limits(Limits), Handler(std::move(Handler)) {}
@@ -41,7 +41,7 @@
   const HttpLimits Limits;
   const HttpHandler Handler;
   std::atomic<bool> Closing{false};
-  ArrivalWatchdog Watchdog;
+  ReceiveWatchdog Watchdog;
 };
 
 HttpRequest toRequest(const Poco::Net::HTTPServerRequest &From) {
@@ -56,16 +56,16 @@
   return Request;
 }
 
-/// Reads the body. Returns false when it is larger than the limit.
+/// Reads the body. Returns false when it is larger than \p Limit bytes.
 bool readBody(std::istream &In, std::size_t Limit, std::string &Body) {
-  std::string Block(ReadBlock, '\0');
+  std::string Block(ReadBlockBytes, '\0');
   std::size_t Total = 0;
-  while (In.read(Block.data(), ReadBlock) || In.gcount() > 0) {
+  while (In.read(Block.data(), ReadBlockBytes) || In.gcount() > 0) {
     const auto Count = static_cast<std::size_t>(In.gcount());
     Total += Count;
     if (Total <= Limit)
       Body.append(Block, 0, Count);
-    else if (Total > Limit + DiscardedBytes)
+    else if (Total > Limit + MaxDiscardedBytes)
       break;
   }
   return Total <= Limit;
@@ -83,15 +83,15 @@
       while (Session.hasMoreRequests() && serveOne(Session)) {
       }
     } catch (const Poco::Exception &) {
-      // The caller has gone; there is nobody to answer.
+      // The client has closed the connection; no response can be sent.
     }
   }
 
 private:
-  /// Serves one request; returns whether the connection stays open.
+  /// Serves one request. Returns whether the connection stays open.
   bool serveOne(Poco::Net::HTTPServerSession &Session) {
-    const std::uint64_t Watch =
-        State.Watchdog.watch(socket(), monotonicNow() + State.Limits.Arrival);
+    const std::uint64_t WatchId = State.Watchdog.watch(
+        socket(), monotonicNow() + State.Limits.ReceiveTimeout);
     Poco::Net::HTTPServerResponseImpl Response(Session);
     try {
       Poco::Net::HTTPServerRequestImpl Request(Response, Session, Params);
@@ -99,52 +99,53 @@
       Response.setKeepAlive(Request.getKeepAlive());
       if (Request.getExpectContinue())
         Response.sendContinue();
-      HttpRequest Arrived = toRequest(Request);
-      const bool Fits =
-          readBody(Request.stream(), State.Limits.BodyBytes, Arrived.Body);
-      if (!State.Watchdog.release(Watch))
+      HttpRequest Received = toRequest(Request);
+      const bool BodyFits =
+          readBody(Request.stream(), State.Limits.BodyBytes, Received.Body);
+      if (!State.Watchdog.release(WatchId))
         return false;
-      if (isCutShort(Request, Arrived, Fits))
+      if (isTruncated(Request, Received, BodyFits))
         return false;
       const HttpResponse Answer =
-          Fits
-              ? State.Handler(Arrived)
+          BodyFits
+              ? State.Handler(Received)
               : refusal(ResultCode::BodyTooLarge,
                         "The body is larger than " +
                             std::to_string(State.Limits.BodyBytes) + " bytes.");
-      return send(Response, Answer, Fits);
-    } catch (const Poco::Net::MessageException &Fault) {
-      State.Watchdog.release(Watch);
+      return send(Response, Answer, BodyFits);
+    } catch (const Poco::Net::MessageException &Err) {
+      State.Watchdog.release(WatchId);
       send(Response,
            refusal(ResultCode::HeadersTooLarge,
-                   "The header cannot be read: " + Fault.displayText() + "."),
+                   "The header cannot be parsed: " + Err.displayText() + "."),
            false);
       return false;
     } catch (...) {
-      State.Watchdog.release(Watch);
+      State.Watchdog.release(WatchId);
       throw;
     }
   }
 
-  static bool isCutShort(const Poco::Net::HTTPServerRequest &Request,
-                         const HttpRequest &Arrived, bool Fits) {
-    return Fits && Request.hasContentLength() &&
-           Arrived.Body.size() != std::size_t(Request.getContentLength64());
+  static bool isTruncated(const Poco::Net::HTTPServerRequest &Request,
+                          const HttpRequest &Received, bool BodyFits) {
+    return BodyFits && Request.hasContentLength() &&
+           Received.Body.size() != std::size_t(Request.getContentLength64());
   }
 
   bool send(Poco::Net::HTTPServerResponseImpl &Response,
-            const HttpResponse &Answer, bool MayKeep) const {
-    const bool Keep = MayKeep && !State.Closing && Response.getKeepAlive();
+            const HttpResponse &Answer, bool MayKeepAlive) const {
+    const bool KeepAlive =
+        MayKeepAlive && !State.Closing && Response.getKeepAlive();
     Response.setStatus(std::to_string(Answer.Status));
     Response.setReason(Poco::Net::HTTPResponse::getReasonForStatus(
         static_cast<Poco::Net::HTTPResponse::HTTPStatus>(Answer.Status)));
     Response.setContentType(Answer.ContentType);
     Response.setContentLength(static_cast<std::streamsize>(Answer.Body.size()));
-    Response.setKeepAlive(Keep);
+    Response.setKeepAlive(KeepAlive);
     for (const auto &[Name, Value] : Answer.Headers)
       Response.set(Name, Value);
     Response.send() << Answer.Body << std::flush;
-    return Keep;
+    return KeepAlive;
   }
 
   Poco::Net::HTTPServerParams::Ptr Params;
@@ -168,20 +169,20 @@
 
 class PocoHttpServer : public HttpServer {
 public:
-  PocoHttpServer(const std::string &Wanted, const HttpLimits &Limits,
+  PocoHttpServer(const std::string &Address, const HttpLimits &Limits,
                  HttpHandler Handler)
       : State(Limits, std::move(Handler)),
         Pool(2, static_cast<int>(Limits.Threads), 60, ThreadStackBytes) {
     Poco::Net::ServerSocket Socket;
-    Socket.bind(Poco::Net::SocketAddress(Wanted), true, false);
+    Socket.bind(Poco::Net::SocketAddress(Address), true, false);
     Socket.listen(ListenBacklog);
-    Bound = Socket.address().toString();
+    BoundAddress = Socket.address().toString();
     Poco::Net::HTTPServerParams::Ptr Params = new Poco::Net::HTTPServerParams;
     Params->setMaxThreads(static_cast<int>(Limits.Threads));
     Params->setMaxQueued(static_cast<int>(Limits.Connections));
     Params->setKeepAlive(true);
     Params->setKeepAliveTimeout(timespan(Limits.Idle));
-    Params->setTimeout(timespan(Limits.Arrival));
+    Params->setTimeout(timespan(Limits.ReceiveTimeout));
     Params->setMaxKeepAliveRequests(0);
     Server = std::make_unique<Poco::Net::TCPServer>(
         new ConnectionFactory(Params, State), Pool, Socket, Params);
@@ -193,18 +194,18 @@
     Pool.joinAll();
   }
 
-  std::string address() const override { return Bound; }
+  std::string address() const override { return BoundAddress; }
 
   void closeAfterAnswers() override { State.Closing = true; }
 
-  bool drain(Milliseconds Patience) override {
+  bool drain(Milliseconds Timeout) override {
     State.Closing = true;
     Server->stop();
-    const Instant Deadline = monotonicNow() + Patience;
+    const Instant Deadline = monotonicNow() + Timeout;
     while (Server->currentConnections() + Server->queuedConnections() > 0) {
       if (monotonicNow() >= Deadline)
         return false;
-      std::this_thread::sleep_for(DrainLook);
+      std::this_thread::sleep_for(DrainPollPeriod);
     }
     return true;
   }
@@ -212,7 +213,7 @@
 private:
   ServerState State;
   Poco::ThreadPool Pool;
-  std::string Bound;
+  std::string BoundAddress;
   std::unique_ptr<Poco::Net::TCPServer> Server;
 };
 
@@ -234,9 +235,9 @@
   try {
     return std::make_unique<PocoHttpServer>(Address, Limits,
                                             std::move(Handler));
-  } catch (const Poco::Exception &Fault) {
+  } catch (const Poco::Exception &Err) {
     return failure(ResultCode::SettingsInvalid,
-                   "Cannot listen on " + Address + ": " + Fault.displayText());
+                   "Cannot listen on " + Address + ": " + Err.displayText());
   }
 }
 
@@ -259,8 +260,6 @@
   return Response;
 }
 
-HttpResponse refusal(const Error &Fault) {
-  return refusal(Fault.Code, Fault.Detail);
-}
+HttpResponse refusal(const Error &Err) { return refusal(Err.Code, Err.Detail); }
 
 } // namespace baobabcove
--- a/src/http/HttpServer.h
+++ b/src/http/HttpServer.h
@@ -1,6 +1,3 @@
-/// \file
-/// The HTTP side of a process, over POCO's server classes.
-
 #ifndef BAOBABCOVE_HTTP_HTTPSERVER_H
 #define BAOBABCOVE_HTTP_HTTPSERVER_H
 
@@ -15,7 +12,7 @@
 
 namespace baobabcove {
 
-/// A request whose header and body have arrived whole.
+/// A completely received request.
 struct HttpRequest {
   std::string Method;
   std::string Path;
@@ -24,9 +21,10 @@
   std::map<std::string, std::string> Headers;
   std::string Body;
 
-  /// The value of a header named in lower case, or an empty text.
+  /// Returns the value of the header \p Name (in lower case), or an empty
+  /// string.
   std::string header(const std::string &Name) const;
-  /// The value of a query key, or an empty text.
+  /// Returns the value of a query parameter, or an empty string.
   std::string query(const std::string &Name) const;
 };
 
@@ -37,48 +35,50 @@
   std::map<std::string, std::string> Headers;
 };
 
-/// Limits of a server.
+/// Resource limits of a server.
 struct HttpLimits {
   std::size_t Threads = 64;
   std::size_t Connections = 1024;
   std::size_t BodyBytes = 1 << 20;
-  /// Time for a request's header and body to arrive.
-  Milliseconds Arrival{5000};
-  /// Time for which an idle connection is kept.
+  /// Maximum time to receive a request's header and body.
+  Milliseconds ReceiveTimeout{5000};
+  /// Idle connections are closed after this time.
   Milliseconds Idle{3000};
 };
 
-/// Answers a request. Called from several threads at once.
+/// Handles a request. Called concurrently from several threads.
 using HttpHandler = std::function<HttpResponse(const HttpRequest &)>;
 
-/// A listening server. A sender that is slower than the limits is cut off and
-/// holds no thread; malformed requests are answered without the handler.
+/// A listening HTTP server over POCO's server classes. Connections that exceed
+/// the receive timeout are shut down, so that slow clients do not hold threads.
+/// Malformed requests are answered without calling the handler.
 class HttpServer {
 public:
   virtual ~HttpServer() = default;
 
-  /// The address with the real port.
+  /// Returns the listening address with the bound port.
   virtual std::string address() const = 0;
 
-  /// From now on every answer asks its caller to close the connection.
+  /// Adds "Connection: close" to every response from now on.
   virtual void closeAfterAnswers() = 0;
 
-  /// Stops listening and waits until the open connections have ended, at most
-  /// \p Patience. Returns whether all have ended.
-  virtual bool drain(Milliseconds Patience) = 0;
+  /// Stops listening and waits at most \p Timeout for the open connections to
+  /// end. Returns whether all have ended.
+  virtual bool drain(Milliseconds Timeout) = 0;
 };
 
-/// Serves on \p Address ("ip:port"); port 0 takes any free port. Fails with
-/// SettingsInvalid when the address cannot be bound.
+/// Starts a server on \p Address ("ip:port"); port 0 selects a free port. Fails
+/// with SettingsInvalid when the address cannot be bound.
 Expected<std::unique_ptr<HttpServer>> serveHttp(const std::string &Address,
                                                 const HttpLimits &Limits,
                                                 HttpHandler Handler);
 
-/// The JSON refusal for \p Code, with its name, outcome and next step.
+/// Returns the JSON error response for \p Code, with its name, outcome and next
+/// step.
 HttpResponse refusal(ResultCode Code, const std::string &Detail);
 
-/// The refusal for an error.
-HttpResponse refusal(const Error &Fault);
+/// Returns the JSON error response for \p Err.
+HttpResponse refusal(const Error &Err);
 
 } // namespace baobabcove
 
--- a/src/http/ArrivalWatchdog.cpp
+++ b/src/http/ReceiveWatchdog.cpp
@@ -1,4 +1,4 @@
-#include "http/ArrivalWatchdog.h"
+#include "http/ReceiveWatchdog.h"
 
 #include <Poco/Exception.h>
 
@@ -6,52 +6,52 @@
 
 namespace {
 
-constexpr Milliseconds LookPeriod{50};
+constexpr Milliseconds PollPeriod{50};
 
-void cutOff(Poco::Net::StreamSocket &Socket) {
+void shutdownSocket(Poco::Net::StreamSocket &Socket) {
   try {
     Socket.shutdown();
   } catch (const Poco::Exception &) {
-    // The other end has gone already; its thread is free by that.
+    // The peer has already closed the connection, which also ends the read.
   }
 }
 
 } // namespace
 
-ArrivalWatchdog::ArrivalWatchdog() : Thread([this] { run(); }) {}
+ReceiveWatchdog::ReceiveWatchdog() : Thread([this] { run(); }) {}
 
-ArrivalWatchdog::~ArrivalWatchdog() {
+ReceiveWatchdog::~ReceiveWatchdog() {
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
     Stopping = true;
   }
-  Changed.notify_all();
+  Wake.notify_all();
   Thread.join();
 }
 
-std::uint64_t ArrivalWatchdog::watch(const Poco::Net::StreamSocket &Socket,
+std::uint64_t ReceiveWatchdog::watch(const Poco::Net::StreamSocket &Socket,
                                      Instant Deadline) {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  Sockets.emplace(Next, Watched{Socket, Deadline});
-  return Next++;
+  Sockets.emplace(NextId, Watched{Socket, Deadline});
+  return NextId++;
 }
 
-bool ArrivalWatchdog::release(std::uint64_t Number) {
+bool ReceiveWatchdog::release(std::uint64_t Id) {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  return Sockets.erase(Number) != 0;
+  return Sockets.erase(Id) != 0;
 }
 
-void ArrivalWatchdog::run() {
+void ReceiveWatchdog::run() {
   std::unique_lock<std::mutex> Lock(Mutex);
   while (!Stopping) {
-    Changed.wait_for(Lock, LookPeriod);
+    Wake.wait_for(Lock, PollPeriod);
     const Instant Now = monotonicNow();
     for (auto It = Sockets.begin(); It != Sockets.end();) {
       if (It->second.Deadline > Now) {
         ++It;
         continue;
       }
-      cutOff(It->second.Socket);
+      shutdownSocket(It->second.Socket);
       It = Sockets.erase(It);
     }
   }
--- a/src/rpc/Rpc.h
+++ b/src/rpc/Rpc.h
@@ -1,5 +1,5 @@
 /// \file
-/// Calls between the processes of baobabcove, carried by gRPC.
+/// gRPC servers and clients for the calls between baobabcove processes.
 
 #ifndef BAOBABCOVE_RPC_RPC_H
 #define BAOBABCOVE_RPC_RPC_H
@@ -17,15 +17,15 @@
 
 namespace baobabcove {
 
-/// What an entry answers to its peers. Called from several threads at once.
+/// Handles the RPCs of an entry. Called concurrently from several threads.
 class EntryHandler {
 public:
   virtual ~EntryHandler() = default;
-  virtual wire::HeartbeatReply beat(const wire::Heartbeat &Beat) = 0;
+  virtual wire::HeartbeatReply heartbeat(const wire::Heartbeat &Message) = 0;
 };
 
-/// What an agent answers to entries, the coordinator and other agents. Called
-/// from several threads at once.
+/// Handles the RPCs that entries, the coordinator and other agents send to an
+/// agent. Called concurrently from several threads.
 class AgentHandler {
 public:
   virtual ~AgentHandler() = default;
@@ -39,37 +39,38 @@
   virtual wire::CommandReply drain(const wire::DrainRequest &Request) = 0;
 };
 
-/// Answers an agent's report about its worker with orders. Called from several
-/// threads at once; may wait as long as the report says.
+/// Handles an agent's report about its worker and returns the orders for it.
+/// Called concurrently from several threads; may block for the wait time given
+/// in the report.
 using TaskCellHandler =
     std::function<wire::TaskOrders(const wire::TaskReport &)>;
 
-/// A listening server. Stops accepting when destroyed.
+/// A listening RPC server. Shuts down when destroyed.
 class RpcServer {
 public:
   virtual ~RpcServer() = default;
 
-  /// The address that peers can call, with the real port.
+  /// Returns the listening address with the bound port.
   virtual std::string address() const = 0;
 
-  /// Takes no new call and waits until the running ones have ended, but at
-  /// most \p Patience.
-  virtual void shutdown(Milliseconds Patience) = 0;
+  /// Stops accepting calls and waits at most \p Timeout for the running ones.
+  virtual void shutdown(Milliseconds Timeout) = 0;
 };
 
-/// Serves on \p Address; port 0 takes any free port. Each handler may be
-/// null. Fails with SettingsInvalid when the address cannot be bound.
+/// Starts a server on \p Address; port 0 selects a free port. Each handler may
+/// be null. Fails with SettingsInvalid when the address cannot be bound.
 Expected<std::unique_ptr<RpcServer>>
-serveRpc(const std::string &Address, EntryHandler *EntrySide,
-         AgentHandler *AgentSide, const TaskCellHandler &CellSide = {});
+serveRpc(const std::string &Address, EntryHandler *EntryRpcHandler,
+         AgentHandler *AgentRpcHandler,
+         const TaskCellHandler &CellRpcHandler = {});
 
-/// Channels to peers by address, opened on first use. A channel that carries
-/// pings without answers is closed and opened anew by its keep-alive, so that
-/// a connection that has fallen silent does not hold calls. Thread-safe.
+/// Client channels to peers by address, opened on first use. Keep-alive pings
+/// detect a connection on which the peer no longer answers; the channel then
+/// reconnects, so that calls do not hang. Thread-safe.
 ///
-/// Every call fails with PeerNotConnected when there was no connection, so that
-/// the peer has surely not seen it, and with PeerUnreachable when it ended
-/// without an answer.
+/// Every call fails with PeerNotConnected when there was no connection, in
+/// which case the peer has not received it, and with PeerUnreachable when it
+/// ended without an answer.
 class RpcPeers {
 public:
   RpcPeers();
@@ -77,34 +78,34 @@
 
   Expected<wire::HeartbeatReply> beat(const std::string &Address,
                                       const wire::Heartbeat &Request,
-                                      Milliseconds Patience);
+                                      Milliseconds Timeout);
   Expected<wire::ExecuteReply> execute(const std::string &Address,
                                        const wire::ExecuteRequest &Request,
-                                       Milliseconds Patience);
+                                       Milliseconds Timeout);
   Expected<wire::CommandReply> reserve(const std::string &Address,
                                        const wire::ReserveRequest &Request,
-                                       Milliseconds Patience);
+                                       Milliseconds Timeout);
   Expected<wire::CommandReply> start(const std::string &Address,
                                      const wire::StartRequest &Request,
-                                     Milliseconds Patience);
+                                     Milliseconds Timeout);
   Expected<wire::CommandReply> renew(const std::string &Address,
                                      const wire::RenewRequest &Request,
-                                     Milliseconds Patience);
+                                     Milliseconds Timeout);
   Expected<wire::CommandReply> stop(const std::string &Address,
                                     const wire::StopRequest &Request,
-                                    Milliseconds Patience);
+                                    Milliseconds Timeout);
   Expected<wire::InventoryReply>
   inventory(const std::string &Address, const wire::InventoryRequest &Request,
-            Milliseconds Patience);
+            Milliseconds Timeout);
   Expected<wire::CommandReply> drain(const std::string &Address,
                                      const wire::DrainRequest &Request,
-                                     Milliseconds Patience);
+                                     Milliseconds Timeout);
 
   Expected<wire::TaskOrders> attend(const std::string &Address,
                                     const wire::TaskReport &Request,
-                                    Milliseconds Patience);
+                                    Milliseconds Timeout);
 
-  /// Drops the channel to \p Address, so that the next call opens a new one.
+  /// Closes the channel to \p Address; the next call opens a new one.
   void forget(const std::string &Address);
 
 private:
--- a/src/rpc/RpcServer.cpp
+++ b/src/rpc/RpcServer.cpp
@@ -18,7 +18,7 @@
 
   grpc::Status Beat(grpc::ServerContext *, const wire::Heartbeat *Request,
                     wire::HeartbeatReply *Reply) override {
-    *Reply = Handler->beat(*Request);
+    *Reply = Handler->heartbeat(*Request);
     return grpc::Status::OK;
   }
 
@@ -90,17 +90,18 @@
 
 class GrpcServer : public RpcServer {
 public:
-  GrpcServer(EntryHandler *EntrySide, AgentHandler *AgentSide,
-             const TaskCellHandler &CellSide)
-      : OfEntry(EntrySide), OfAgent(AgentSide), OfCell(CellSide),
-        HasEntry(EntrySide), HasAgent(AgentSide), HasCell(CellSide) {}
+  GrpcServer(EntryHandler *EntryRpcHandler, AgentHandler *AgentRpcHandler,
+             const TaskCellHandler &CellRpcHandler)
+      : EntryServer(EntryRpcHandler), AgentServer(AgentRpcHandler),
+        TaskCellServer(CellRpcHandler), HasEntry(EntryRpcHandler),
+        HasAgent(AgentRpcHandler), HasTaskCell(CellRpcHandler) {}
 
   ~GrpcServer() override { shutdown(Milliseconds(0)); }
 
-  bool listen(const std::string &Wanted) {
+  bool listen(const std::string &Address) {
     grpc::ServerBuilder Builder;
     int Port = 0;
-    Builder.AddListeningPort(Wanted, grpc::InsecureServerCredentials(), &Port);
+    Builder.AddListeningPort(Address, grpc::InsecureServerCredentials(), &Port);
     Builder.SetMaxReceiveMessageSize(MaxMessageBytes);
     Builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     Builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIME_MS, KeepAliveMs);
@@ -111,41 +112,42 @@
         MinPingIntervalMs);
     Builder.AddChannelArgument(GRPC_ARG_HTTP2_MAX_PING_STRIKES, 0);
     if (HasEntry)
-      Builder.RegisterService(&OfEntry);
+      Builder.RegisterService(&EntryServer);
     if (HasAgent)
-      Builder.RegisterService(&OfAgent);
-    if (HasCell)
-      Builder.RegisterService(&OfCell);
+      Builder.RegisterService(&AgentServer);
+    if (HasTaskCell)
+      Builder.RegisterService(&TaskCellServer);
     Server = Builder.BuildAndStart();
-    Bound = Wanted.substr(0, Wanted.rfind(':') + 1) + std::to_string(Port);
+    BoundAddress =
+        Address.substr(0, Address.rfind(':') + 1) + std::to_string(Port);
     return Server && Port != 0;
   }
 
-  std::string address() const override { return Bound; }
+  std::string address() const override { return BoundAddress; }
 
-  void shutdown(Milliseconds Patience) override {
+  void shutdown(Milliseconds Timeout) override {
     if (Server)
-      Server->Shutdown(std::chrono::system_clock::now() + Patience);
+      Server->Shutdown(std::chrono::system_clock::now() + Timeout);
   }
 
 private:
-  EntryService OfEntry;
-  AgentService OfAgent;
-  TaskCellService OfCell;
+  EntryService EntryServer;
+  AgentService AgentServer;
+  TaskCellService TaskCellServer;
   const bool HasEntry;
   const bool HasAgent;
-  const bool HasCell;
+  const bool HasTaskCell;
   std::unique_ptr<grpc::Server> Server;
-  std::string Bound;
+  std::string BoundAddress;
 };
 
 } // namespace
 
-Expected<std::unique_ptr<RpcServer>> serveRpc(const std::string &Address,
-                                              EntryHandler *EntrySide,
-                                              AgentHandler *AgentSide,
-                                              const TaskCellHandler &CellSide) {
-  auto Server = std::make_unique<GrpcServer>(EntrySide, AgentSide, CellSide);
+Expected<std::unique_ptr<RpcServer>>
+serveRpc(const std::string &Address, EntryHandler *EntryRpcHandler,
+         AgentHandler *AgentRpcHandler, const TaskCellHandler &CellRpcHandler) {
+  auto Server = std::make_unique<GrpcServer>(EntryRpcHandler, AgentRpcHandler,
+                                             CellRpcHandler);
   if (!Server->listen(Address))
     return failure(ResultCode::SettingsInvalid,
                    "Cannot listen on " + Address + ".");
--- a/tests/entry/MinionPoolTest.cpp
+++ b/tests/entry/MinionPoolTest.cpp
@@ -7,9 +7,9 @@
 using namespace baobabcove;
 
 TEST_GROUP(MinionPool) {
-  Settings Of;
-  Members Known;
-  MinionPool Pool{Of, Known};
+  Settings Options;
+  Members Membership;
+  MinionPool Pool{Options, Membership};
 
   void announce(const std::string &Node, std::uint32_t Slots) {
     wire::Heartbeat Beat;
@@ -18,16 +18,16 @@
     Beat.set_incarnation(1);
     Beat.mutable_minion()->set_service("s");
     Beat.mutable_minion()->set_slots(Slots);
-    Known.hear(Beat, monotonicNow());
+    Membership.hear(Beat, monotonicNow());
     Pool.membersChanged();
   }
 
-  SlotRequest wanted(Milliseconds Patience) const {
-    return {"s", "w", {}, monotonicNow() + Patience};
+  SlotRequest wanted(Milliseconds Timeout) const {
+    return {"s", "w", {}, monotonicNow() + Timeout};
   }
 };
 
-TEST(MinionPool, WaitsForTheFirstMinionOfAnEntryThatHasJustBegun) {
+TEST(MinionPool, WaitsForTheFirstMinionDuringWarmUp) {
   auto Got = std::async(std::launch::async, [&] {
     return Pool.acquire(wanted(Milliseconds(30000)));
   });
@@ -39,7 +39,7 @@
   STRCMP_EQUAL("late", Chosen->Beat.node().c_str());
 }
 
-TEST(MinionPool, RefusesAtTheDeadlineWhenNoMinionComes) {
+TEST(MinionPool, FailsAtTheDeadlineWhenNoMinionAppears) {
   const auto Refused = Pool.acquire(wanted(Milliseconds(20)));
   CHECK_FALSE(Refused.has_value());
   LONGS_EQUAL(static_cast<long>(ResultCode::DeadlineBeforeStart),
@@ -47,10 +47,10 @@
   LONGS_EQUAL(0, Pool.waiting());
 }
 
-TEST(MinionPool, NeverSendsMoreThanTheSlots) {
+TEST(MinionPool, NeverExceedsTheSlotsOfAMinion) {
   announce("one", 1);
   CHECK_TRUE(Pool.acquire(wanted(Milliseconds(20))).has_value());
   CHECK_FALSE(Pool.acquire(wanted(Milliseconds(20))).has_value());
-  Pool.release("one", "w", DeliveryMark::Good, Milliseconds(1), -1);
+  Pool.release("one", "w", DeliveryResult::Succeeded, Milliseconds(1), -1);
   CHECK_TRUE(Pool.acquire(wanted(Milliseconds(20))).has_value());
 }
--- a/tests/http/AccessTest.cpp
+++ b/tests/http/AccessTest.cpp
@@ -6,13 +6,13 @@
 using namespace baobabcove;
 
 TEST_GROUP(Access) {
-  Configuration Present;
+  Configuration CurrentConfig;
   HttpRequest Request;
 
   void setup() override {
-    Present.Workspaces["shed"].TokenDigests = {sha256Hex("one"),
-                                               sha256Hex("two")};
-    Present.Operators["yuki"].TokenDigest = sha256Hex("boss");
+    CurrentConfig.Workspaces["shed"].TokenDigests = {sha256Hex("one"),
+                                                     sha256Hex("two")};
+    CurrentConfig.Operators["yuki"].TokenDigest = sha256Hex("boss");
   }
   void token(const std::string &Text) {
     Request.Headers["authorization"] = "Bearer " + Text;
@@ -22,33 +22,35 @@
   }
 };
 
-TEST(Access, KnowsCallersAndOperatorsByTheirTokens) {
+TEST(Access, AuthenticatesCallersAndOperatorsByTheirTokens) {
   token("two");
-  STRCMP_EQUAL("shed", identify(Request, Present)->Workspace.c_str());
+  STRCMP_EQUAL("shed", authenticate(Request, CurrentConfig)->Workspace.c_str());
   token("boss");
-  STRCMP_EQUAL("yuki", identify(Request, Present)->Operator.c_str());
+  STRCMP_EQUAL("yuki", authenticate(Request, CurrentConfig)->Operator.c_str());
 }
 
-TEST(Access, RefusesNoTokenAndAWrongOne) {
-  CHECK_TRUE(ResultCode::MissingToken == codeOf(identify(Request, Present)));
+TEST(Access, RefusesAMissingAndAWrongToken) {
+  CHECK_TRUE(ResultCode::MissingToken ==
+             codeOf(authenticate(Request, CurrentConfig)));
   token("wrong");
-  CHECK_TRUE(ResultCode::WrongToken == codeOf(identify(Request, Present)));
+  CHECK_TRUE(ResultCode::WrongToken ==
+             codeOf(authenticate(Request, CurrentConfig)));
 }
 
-TEST(Access, CallsNoTokenWrongBeforeThereIsAConfiguration) {
+TEST(Access, FailsWithStartingBeforeTheFirstConfiguration) {
   token("one");
-  CHECK_TRUE(ResultCode::Starting == codeOf(identify(Request, {})));
+  CHECK_TRUE(ResultCode::Starting == codeOf(authenticate(Request, {})));
 }
 
-TEST(Access, RefusesACallerWhatIsForOperators) {
+TEST(Access, RefusesACallerOnOperatorRequests) {
   token("one");
   CHECK_TRUE(ResultCode::WrongWorkspace ==
-             codeOf(identifyOperator(Request, Present)));
+             codeOf(authenticateOperator(Request, CurrentConfig)));
 }
 
-TEST(Access, LetsACallerSeeOnlyItsOwnWorkspace) {
+TEST(Access, LetsACallerAccessOnlyItsOwnWorkspace) {
   token("one");
-  const auto Found = identify(Request, Present);
-  CHECK_TRUE(Found->maySee("shed"));
-  CHECK_FALSE(Found->maySee("other"));
+  const auto Found = authenticate(Request, CurrentConfig);
+  CHECK_TRUE(Found->mayAccess("shed"));
+  CHECK_FALSE(Found->mayAccess("other"));
 }
--- a/tests/http/HttpServerTest.cpp
+++ b/tests/http/HttpServerTest.cpp
@@ -18,7 +18,7 @@
     HttpLimits Limits;
     Limits.Threads = 4;
     Limits.BodyBytes = 1000;
-    Limits.Arrival = Milliseconds(400);
+    Limits.ReceiveTimeout = Milliseconds(400);
     auto Served =
         serveHttp("127.0.0.1:0", Limits, [](const HttpRequest &Request) {
           HttpResponse Response;
@@ -51,7 +51,7 @@
   CHECK_TRUE(Answer->Body.find("\"outcome\":\"not run\"") != std::string::npos);
 }
 
-TEST(HttpServer, RefusesAFloodOfHeadersWithItsCode) {
+TEST(HttpServer, RefusesTooManyHeadersWithItsCode) {
   std::map<std::string, std::string> Headers;
   for (int I = 0; I < 200; ++I)
     Headers["X-" + std::to_string(I)] = "v";
@@ -60,7 +60,7 @@
   CHECK_TRUE(Answer->Body.find("\"code\":1005") != std::string::npos);
 }
 
-TEST(HttpServer, GivesNoThreadToSlowSendersForGood) {
+TEST(HttpServer, FreesThreadsOfSlowSendersAfterTheReceiveTimeout) {
   // More slow senders than there are threads.
   std::vector<Poco::Net::StreamSocket> Slow;
   for (int I = 0; I < 8; ++I) {
@@ -70,7 +70,7 @@
   STRCMP_EQUAL("got late", send("late")->Body.c_str());
 }
 
-TEST(HttpServer, ClosesConnectionsOnceToldTo) {
+TEST(HttpServer, ClosesConnectionsAfterTheNextResponse) {
   Server->closeAfterAnswers();
   STRCMP_EQUAL("got x", send("x")->Body.c_str());
   CHECK_TRUE(Server->drain(Milliseconds(5000)));
