--- a/src/agent/MinionController.cpp
+++ b/src/agent/MinionController.cpp
@@ -85,9 +85,9 @@
         Outcomes.finish(Request, Reply, monotonicNow());
     }
   }
-  const wire::MinionStatus Present = status();
-  Reply.set_in_flight(Present.in_flight());
-  Reply.set_slots(Present.slots());
+  const wire::MinionStatus CurrentStatus = status();
+  Reply.set_in_flight(CurrentStatus.in_flight());
+  Reply.set_slots(CurrentStatus.slots());
   return Reply;
 }
 
--- a/src/agent/OutcomeTable.cpp
+++ b/src/agent/OutcomeTable.cpp
@@ -29,11 +29,11 @@
 }
 
 bool OutcomeTable::makeRoom(Instant Now) {
-  const std::uint64_t Present = period(Now);
+  const std::uint64_t CurrentPeriod = period(Now);
   while (!EndOrder.empty()) {
     const auto Found = Table.find(EndOrder.front());
-    const bool Old =
-        Found == Table.end() || Found->second.Period + KeptPeriods < Present;
+    const bool Old = Found == Table.end() ||
+                     Found->second.Period + KeptPeriods < CurrentPeriod;
     if (!Old)
       break;
     drop(EndOrder.front());
--- a/tests/entry/MinionPoolTest.cpp
+++ b/tests/entry/MinionPoolTest.cpp
@@ -12,13 +12,13 @@
   MinionPool Pool{Options, Membership};
 
   void announce(const std::string &Node, std::uint32_t Slots) {
-    wire::Heartbeat Beat;
-    Beat.set_node(Node);
-    Beat.set_kind(wire::MINION);
-    Beat.set_incarnation(1);
-    Beat.mutable_minion()->set_service("s");
-    Beat.mutable_minion()->set_slots(Slots);
-    Membership.hear(Beat, monotonicNow());
+    wire::Heartbeat Message;
+    Message.set_node(Node);
+    Message.set_kind(wire::MINION);
+    Message.set_incarnation(1);
+    Message.mutable_minion()->set_service("s");
+    Message.mutable_minion()->set_slots(Slots);
+    Membership.hear(Message, monotonicNow());
     Pool.membersChanged();
   }
 
