--- a/tests/platform/CodecTest.cpp
+++ b/tests/platform/CodecTest.cpp
@@ -23,7 +23,7 @@
    "requirements":"b"}],
   "repeat_count":2,"initial_delay_ms":1790292317714,"interval_ms":4500})";
 
-const std::string BeatJson = R"({"service":"s","address":"10.1.0.9:80",
+const std::string HeartbeatJson = R"({"service":"s","address":"10.1.0.9:80",
   "zone":"z","version":"v1","slots":8,"state":"draining","remaining_ms":4000,
   "capacity":{"cpu":16000,"mem_mb":32768,"gpu":8},"labels":["a","r1-3"],
   "clock_ms":482113,"sequence":4,"born":1790292317714})";
@@ -32,8 +32,8 @@
   "running":[["j.0.1.17",2,"00ab",41,350]],
   "ended":[[58,"j.0.1.9",1,"done",""],[59,"j.0.1.8",1,"broken","00cd"]]})";
 
-/// Changes some bytes of a valid message.
-std::string damage(std::string Text, std::mt19937 &Random) {
+/// Overwrites, erases or inserts bytes at three random places in a message.
+std::string corrupt(std::string Text, std::mt19937 &Random) {
   for (int I = 0; I < 3; ++I) {
     const std::size_t At = Random() % Text.size();
     switch (Random() % 3) {
@@ -68,7 +68,7 @@
               Config->Workspaces.at(WorkspaceId("t")).GuaranteedAccelerators);
 }
 
-TEST(Codec, LeavesOutQueuesThatCannotBeRead) {
+TEST(Codec, SkipsMalformedQueuesAndWorkspaces) {
   const auto Config = readConfig(
       R"({"version":1,"routes":[7,{"host":1},{"host":"h","prefix":"/",
           "service":"s"}],"tenants":[null,{"name":3}]})");
@@ -96,7 +96,7 @@
   LONGS_EQUAL(2, Job->repeat_count());
 }
 
-TEST(Codec, RefusesJobsBeyondTheirBounds) {
+TEST(Codec, RefusesMalformedAndOversizedJobs) {
   for (const char *Text :
        {"{}", R"({"steps":[]})", R"({"steps":[7]})",
         R"({"steps":[{"count":-1}]})", R"({"steps":[{"count":1e18}]})",
@@ -106,29 +106,31 @@
         R"({"spec":7,"steps":[{"count":1}]})",
         R"({"steps":[{"count":99999}],"repeat_count":99999})"})
     CHECK(ResultCode::MalformedRequest == readJob(Text).error().Code);
-  const std::string Long(4001, 'x');
-  CHECK_FALSE(readJob("{\"spec\":\"" + Long + "\",\"steps\":[{\"count\":1}]}")
-                  .has_value());
+  const std::string TooLong(4001, 'x');
+  CHECK_FALSE(
+      readJob("{\"spec\":\"" + TooLong + "\",\"steps\":[{\"count\":1}]}")
+          .has_value());
 }
 
-TEST(Codec, ReadsAnAnnouncement) {
-  const auto Beat = readBeat("i-1", BeatJson);
-  CHECK_TRUE(Beat->Draining);
-  LONGS_EQUAL(4000, Beat->Remaining.count());
-  LONGS_EQUAL(8, Beat->Accelerators);
-  STRCMP_EQUAL("r1-3", Beat->Rack.str().c_str());
-  CHECK(Beat->BornMs == 1790292317714);
+TEST(Codec, ReadsAHeartbeat) {
+  const auto Heartbeat = readHeartbeat("i-1", HeartbeatJson);
+  CHECK_TRUE(Heartbeat->Draining);
+  LONGS_EQUAL(4000, Heartbeat->Remaining.count());
+  LONGS_EQUAL(8, Heartbeat->Accelerators);
+  STRCMP_EQUAL("r1-3", Heartbeat->Rack.str().c_str());
+  CHECK(Heartbeat->BornMs == 1790292317714);
 }
 
-TEST(Codec, TakesNoWorkerFromAnnouncementsOfOtherWriters) {
+TEST(Codec, RefusesMalformedHeartbeats) {
   for (const char *Text :
        {"{}", "\xff\xfe", R"({"service":"s","address":"a","sequence":1,
         "state":"asleep","capacity":{}})",
         R"({"service":"s","address":"a","sequence":"1","state":"ready",
         "capacity":{}})",
         R"({"service":"s","address":"a","sequence":1,"state":"ready"})"})
-    CHECK(ResultCode::MalformedRequest == readBeat("i", Text).error().Code);
-  CHECK_FALSE(readBeat("", BeatJson).has_value());
+    CHECK(ResultCode::MalformedRequest ==
+          readHeartbeat("i", Text).error().Code);
+  CHECK_FALSE(readHeartbeat("", HeartbeatJson).has_value());
 }
 
 TEST(Codec, ReadsRunsAndEnds) {
@@ -140,7 +142,7 @@
   STRCMP_EQUAL("00cd", Runs->Ends.at(1).checkpoint().c_str());
 }
 
-TEST(Codec, LeavesOutRowsThatCannotBeRead) {
+TEST(Codec, SkipsMalformedRows) {
   const auto Runs = readRuns(
       R"({"clock_ms":1,"running":[1,["a"],["a","b","c","d"],["a",0,"",1]],
           "ended":[[0,"a",1,"done",""],["x"],{}]})");
@@ -149,7 +151,7 @@
   CHECK_FALSE(readRuns("{}").has_value());
 }
 
-TEST(Codec, KnowsJobIds) {
+TEST(Codec, RecognizesJobIds) {
   CHECK_TRUE(isJobId("5c0e7a21d94b36f8"));
   CHECK_FALSE(isJobId("5c0e7a21d94b36f"));
   CHECK_FALSE(isJobId("5c0e7a21d94b36f8a"));
@@ -157,12 +159,12 @@
   CHECK_FALSE(isJobId("5c0e7a21/../36f8"));
 }
 
-TEST(Codec, SurvivesDamagedMessages) {
+TEST(Codec, DoesNotCrashOnCorruptedMessages) {
   std::mt19937 Random(20261204);
   for (int I = 0; I < 4000; ++I) {
-    (void)readConfig(damage(ConfigJson, Random));
-    (void)readJob(damage(JobJson, Random));
-    (void)readBeat("i", damage(BeatJson, Random));
-    (void)readRuns(damage(RunsJson, Random));
+    (void)readConfig(corrupt(ConfigJson, Random));
+    (void)readJob(corrupt(JobJson, Random));
+    (void)readHeartbeat("i", corrupt(HeartbeatJson, Random));
+    (void)readRuns(corrupt(RunsJson, Random));
   }
 }
--- a/tests/platform/KvStoreTest.cpp
+++ b/tests/platform/KvStoreTest.cpp
@@ -9,8 +9,8 @@
 using namespace baobabcove::platform;
 
 TEST_GROUP(KvStore) {
-  HttpResponse Answer;
-  HttpRequest Seen;
+  HttpResponse Response;
+  HttpRequest LastRequest;
   std::unique_ptr<HttpServer> Server;
   std::unique_ptr<TransactionalStore> Kv;
 
@@ -19,77 +19,77 @@
     Limits.Threads = 4;
     Server = std::move(
         *serveHttp("127.0.0.1:0", Limits, [this](const HttpRequest &Request) {
-          Seen = Request;
-          return Answer;
+          LastRequest = Request;
+          return Response;
         }));
     Kv = makeKvStore(Server->address());
   }
 
-  void answer(int Status, const std::string &Body) {
-    Answer.Status = Status;
-    Answer.Body = Body;
+  void respond(int Status, const std::string &Body) {
+    Response.Status = Status;
+    Response.Body = Body;
   }
 };
 
 TEST(KvStore, ReadsAnItem) {
-  answer(200, R"({"key":"a","value":"bm9kZS0x","revision":412,"created":400,
+  respond(200, R"({"key":"a","value":"bm9kZS0x","revision":412,"created":400,
                   "lease":0,"current_rev":530})");
   const auto Item = Kv->read("a b/c");
   STRCMP_EQUAL("node-1", (*Item)->Value.c_str());
   LONGS_EQUAL(412, (*Item)->Revision);
-  STRCMP_EQUAL("a b/c", Seen.query("key").c_str());
+  STRCMP_EQUAL("a b/c", LastRequest.query("key").c_str());
 }
 
-TEST(KvStore, TellsAnAbsentItemFromAStoreThatIsAway) {
-  answer(404, "{}");
+TEST(KvStore, DistinguishesAnAbsentItemFromAnUnavailableStore) {
+  respond(404, "{}");
   CHECK_TRUE(Kv->read("a").has_value());
   CHECK_FALSE(Kv->read("a")->has_value());
-  answer(503, "{}");
+  respond(503, "{}");
   CHECK(ResultCode::StoreUnavailable == Kv->read("a").error().Code);
-  answer(429, "{}");
+  respond(429, "{}");
   CHECK(ResultCode::StoreUnavailable == Kv->read("a").error().Code);
 }
 
-TEST(KvStore, SendsATransactionAndReadsBothAnswers) {
-  answer(200, R"({"revision":9})");
-  const auto Written = Kv->commit({{{"r", 0}}, {{"k", "v", 7}}, {"gone"}});
-  LONGS_EQUAL(9, *Written->Revision);
-  CHECK(Seen.Body.find("\"value\":\"dg==\"") != std::string::npos);
-  answer(412, R"({"items":[{"key":"r","value":"eA==","revision":3}]})");
+TEST(KvStore, SendsATransactionAndReadsSuccessAndConflict) {
+  respond(200, R"({"revision":9})");
+  const auto Committed = Kv->commit({{{"r", 0}}, {{"k", "v", 7}}, {"gone"}});
+  LONGS_EQUAL(9, *Committed->Revision);
+  CHECK(LastRequest.Body.find("\"value\":\"dg==\"") != std::string::npos);
+  respond(412, R"({"items":[{"key":"r","value":"eA==","revision":3}]})");
   const auto Refused = Kv->commit({{{"r", 0}}, {}, {}});
   CHECK_FALSE(Refused->Revision.has_value());
   LONGS_EQUAL(3, Refused->Current.at(0).Revision);
 }
 
-TEST(KvStore, DoesNotTakeAnUnreadableAnswerForAResult) {
-  answer(200, "no json");
+TEST(KvStore, ReportsALostAnswerWhenTheResponseIsMalformed) {
+  respond(200, "no json");
   CHECK(ResultCode::StoreAnswerLost == Kv->commit({}).error().Code);
   CHECK(ResultCode::StoreAnswerLost == Kv->read("a").error().Code);
-  answer(200, "{}");
+  respond(200, "{}");
   CHECK(ResultCode::StoreAnswerLost == Kv->commit({}).error().Code);
   CHECK(ResultCode::StoreAnswerLost == Kv->list("p").error().Code);
 }
 
-TEST(KvStore, SaysThatHistoryIsGone) {
-  answer(410, "{}");
+TEST(KvStore, ReportsACompactedHistory) {
+  respond(410, "{}");
   CHECK(ResultCode::CompareFailed ==
         Kv->changes("p", 4, Milliseconds(10)).error().Code);
 }
 
-TEST(KvStore, ReadsDeletionsAndLeavesOutOtherWritersItems) {
-  answer(200, R"({"events":[{"key":"a","revision":5,"deleted":true},
+TEST(KvStore, ReadsDeletionsAndSkipsMalformedItems) {
+  respond(200, R"({"events":[{"key":"a","revision":5,"deleted":true},
       {"key":7},{"key":"b","value":"%%","revision":"x"}],"current_rev":6})");
-  const auto News = Kv->changes("p", 4, Milliseconds(10));
-  LONGS_EQUAL(1, News->Items.size());
-  LONGS_EQUAL(0, News->Items[0].Revision);
-  LONGS_EQUAL(6, News->Revision);
+  const auto Changes = Kv->changes("p", 4, Milliseconds(10));
+  LONGS_EQUAL(1, Changes->Items.size());
+  LONGS_EQUAL(0, Changes->Items[0].Revision);
+  LONGS_EQUAL(6, Changes->Revision);
 }
 
-TEST(KvStore, KnowsThatNothingWasDoneWhenNobodyListens) {
+TEST(KvStore, ReportsAnUnavailableStoreWhenTheConnectionIsRefused) {
   const std::string Address = Server->address();
   Server.reset();
-  const auto Nobody = makeKvStore(Address);
-  CHECK(ResultCode::StoreUnavailable == Nobody->commit({}).error().Code);
-  (void)Nobody->commit({});
-  CHECK_TRUE(Nobody->health().isAway(BootClock::now()));
+  const auto Unreachable = makeKvStore(Address);
+  CHECK(ResultCode::StoreUnavailable == Unreachable->commit({}).error().Code);
+  (void)Unreachable->commit({});
+  CHECK_TRUE(Unreachable->health().isAway(BootClock::now()));
 }
--- a/tests/platform/BootTest.cpp
+++ b/tests/platform/PlatformSettingsTest.cpp
@@ -1,4 +1,4 @@
-#include "platform/Boot.h"
+#include "platform/PlatformSettings.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -14,23 +14,24 @@
 
 } // namespace
 
-TEST_GROUP(Boot){};
+TEST_GROUP(PlatformSettings){};
 
-TEST(Boot, ReadsWhatItKnowsAndIgnoresTheRest) {
-  const auto Read = parseBoot(Valid);
-  STRCMP_EQUAL("n1", Read->Node.str().c_str());
-  LONGS_EQUAL(7000, Read->InnerPort);
-  LONGS_EQUAL(4000, Read->KeyRevocation.count());
-  LONGS_EQUAL(6000, Read->StopGrace.count());
-  LONGS_EQUAL(120000, Read->StatusKept.count());
+TEST(PlatformSettings, ReadsKnownSettingsAndIgnoresOthers) {
+  const auto Parsed = parsePlatformSettings(Valid);
+  STRCMP_EQUAL("n1", Parsed->Node.str().c_str());
+  LONGS_EQUAL(7000, Parsed->RpcPort);
+  LONGS_EQUAL(4000, Parsed->KeyRevocationBound.count());
+  LONGS_EQUAL(6000, Parsed->StopGracePeriod.count());
+  LONGS_EQUAL(120000, Parsed->StatusRetention.count());
 }
 
-TEST(Boot, NamesWhatIsMissingOrWrong) {
+TEST(PlatformSettings, RefusesMissingAndMalformedSettings) {
   for (const char *Text : {"", "node=n1\n", "node=n1\nzone=z\nip=1.1.1.1\n"})
-    CHECK(ResultCode::SettingsInvalid == parseBoot(Text).error().Code);
+    CHECK(ResultCode::SettingsInvalid ==
+          parsePlatformSettings(Text).error().Code);
   for (const char *Line : {"port_range=0,5", "port_range=x",
                            "port_range=70000,70001", "bounds.revoke_ms=soon",
                            "bounds.grace_s=-1", "bounds.remote_penalty=far"})
     CHECK(ResultCode::SettingsInvalid ==
-          parseBoot(Valid + Line + "\n").error().Code);
+          parsePlatformSettings(Valid + Line + "\n").error().Code);
 }
