--- a/src/config/Configuration.cpp
+++ b/src/config/Configuration.cpp
@@ -18,7 +18,8 @@
 constexpr std::uint32_t MaxShapeAccelerators = 1024;
 constexpr std::size_t DigestLength = 64;
 
-/// Reads the files of a bundle one after another into one configuration.
+/// Merges the files of a bundle into one configuration, in the order in which
+/// they are read, and collects all errors.
 class Reader {
 public:
   explicit Reader(ConfigurationReport &Report) : Report(Report) {}
@@ -27,17 +28,18 @@
     File = Source.name();
     try {
       readRoot(YAML::Load(Source.content()));
-    } catch (const YAML::Exception &Broken) {
-      Report.Faults.push_back({File, Broken.mark.line + 1, "", Broken.msg});
+    } catch (const YAML::Exception &Exception) {
+      Report.Faults.push_back(
+          {File, Exception.mark.line + 1, "", Exception.msg});
     }
   }
 
-  void checkWhole() {
+  void checkMerged() {
     File = "(all files)";
-    const YAML::Mark Nowhere;
+    const YAML::Mark NoMark;
     if (Report.Result.Operators.empty())
-      fault(Nowhere, "operators",
-            "name at least one operator, or nobody can apply a change");
+      addError(NoMark, "operators",
+               "must name at least one operator, who can apply later changes");
   }
 
 private:
@@ -45,20 +47,22 @@
                                   const std::string &Key,
                                   const YAML::Node &Value);
 
-  /// The keys that an item of a section may have.
+  /// One key that the items of a section may have.
   struct ItemKey {
     std::string Name;
     Member Read;
   };
 
-  struct Section {
+  /// One section of a file: a map from the names of items to their keys.
+  struct SectionSchema {
     std::string Name;
     std::vector<ItemKey> Keys;
+    /// Adds an item with default values.
     void (Reader::*Create)(const std::string &Name);
   };
 
-  static const std::vector<Section> &sections() {
-    static const std::vector<Section> Table = {
+  static const std::vector<SectionSchema> &sections() {
+    static const std::vector<SectionSchema> Table = {
         {"workspaces",
          {{"tokens", &Reader::readTokens},
           {"max_requests", &Reader::readMaxRequests},
@@ -76,33 +80,33 @@
     return Table;
   }
 
-  void fault(const YAML::Mark &Mark, const std::string &Key,
-             const std::string &Problem) {
+  void addError(const YAML::Mark &Mark, const std::string &Key,
+                const std::string &Problem) {
     const int Line = Mark.is_null() ? 0 : Mark.line + 1;
     Report.Faults.push_back({File, Line, Key, Problem});
   }
 
-  void unknown(const YAML::Node &Name, const std::string &Path,
-               const std::vector<std::string> &Known) {
-    const std::string Nearest = nearestName(Name.Scalar(), Known);
+  void addUnknownKey(const YAML::Node &Name, const std::string &Path,
+                     const std::vector<std::string> &Known) {
+    const std::string Suggestion = nearestName(Name.Scalar(), Known);
     std::string Problem = "unknown key";
-    if (!Nearest.empty())
-      Problem += "; did you mean \"" + Nearest + "\"?";
-    fault(Name.Mark(), Path + Name.Scalar(), Problem);
+    if (!Suggestion.empty())
+      Problem += "; did you mean \"" + Suggestion + "\"?";
+    addError(Name.Mark(), Path + Name.Scalar(), Problem);
   }
 
   void readRoot(const YAML::Node &Root) {
     if (Root.IsNull())
       return;
     if (!Root.IsMap()) {
-      fault(Root.Mark(), "", "the file must be a map of sections");
+      addError(Root.Mark(), "", "the file must be a map of sections");
       return;
     }
     for (const auto &Pair : Root)
-      readTop(Pair.first, Pair.second);
+      readTopLevelKey(Pair.first, Pair.second);
   }
 
-  void readTop(const YAML::Node &Name, const YAML::Node &Value) {
+  void readTopLevelKey(const YAML::Node &Name, const YAML::Node &Value) {
     if (Name.Scalar() == "policy") {
       readPolicy(Value);
       return;
@@ -115,64 +119,66 @@
       }
       Known.push_back(Candidate.Name);
     }
-    unknown(Name, "", Known);
+    addUnknownKey(Name, "", Known);
   }
 
-  void readSection(const Section &Wanted, const YAML::Node &Items) {
+  void readSection(const SectionSchema &Schema, const YAML::Node &Items) {
     if (!Items.IsMap()) {
-      fault(Items.Mark(), Wanted.Name, "must be a map of names");
+      addError(Items.Mark(), Schema.Name,
+               "must be a map from names to their keys");
       return;
     }
     for (const auto &Item : Items)
-      readItem(Wanted, Item.first, Item.second);
+      readItem(Schema, Item.first, Item.second);
   }
 
-  void readItem(const Section &Wanted, const YAML::Node &Name,
+  void readItem(const SectionSchema &Schema, const YAML::Node &Name,
                 const YAML::Node &Value) {
     static const std::regex Allowed("[a-z0-9][a-z0-9-]{0,62}");
-    const std::string Path = Wanted.Name + "." + Name.Scalar();
+    const std::string Path = Schema.Name + "." + Name.Scalar();
     if (!std::regex_match(Name.Scalar(), Allowed)) {
-      fault(Name.Mark(), Path,
-            "a name has 1 to 63 lower-case letters, digits and hyphens");
+      addError(
+          Name.Mark(), Path,
+          "a name must have 1 to 63 lower-case letters, digits and hyphens, "
+          "and must not begin with a hyphen");
       return;
     }
-    (this->*Wanted.Create)(Name.Scalar());
+    (this->*Schema.Create)(Name.Scalar());
     if (Value.IsNull())
       return;
     if (!Value.IsMap()) {
-      fault(Value.Mark(), Path, "must be a map of keys");
+      addError(Value.Mark(), Path, "must be a map of keys");
       return;
     }
     for (const auto &Pair : Value)
-      readItemKey(Wanted, Name.Scalar(), Path + ".", Pair.first, Pair.second);
+      readItemKey(Schema, Name.Scalar(), Path + ".", Pair.first, Pair.second);
   }
 
-  void readItemKey(const Section &Wanted, const std::string &Item,
+  void readItemKey(const SectionSchema &Schema, const std::string &Item,
                    const std::string &Path, const YAML::Node &Name,
                    const YAML::Node &Value) {
     std::vector<std::string> Known;
-    for (const auto &Key : Wanted.Keys) {
+    for (const auto &Key : Schema.Keys) {
       if (Key.Name == Name.Scalar()) {
         (this->*Key.Read)(Item, Path + Key.Name, Value);
         return;
       }
       Known.push_back(Key.Name);
     }
-    unknown(Name, Path, Known);
+    addUnknownKey(Name, Path, Known);
   }
 
   bool readNumber(const YAML::Node &Value, const std::string &Key,
-                  std::uint32_t Least, std::uint32_t Most,
-                  std::uint32_t &Result) {
+                  std::uint32_t Min, std::uint32_t Max, std::uint32_t &Result) {
     long long Number = 0;
     if (Value.IsScalar() && YAML::convert<long long>::decode(Value, Number) &&
-        Number >= Least && Number <= Most) {
+        Number >= Min && Number <= Max) {
       Result = static_cast<std::uint32_t>(Number);
       return true;
     }
-    fault(Value.Mark(), Key,
-          "must be a whole number from " + std::to_string(Least) + " to " +
-              std::to_string(Most));
+    addError(Value.Mark(), Key,
+             "must be a whole number from " + std::to_string(Min) + " to " +
+                 std::to_string(Max));
     return false;
   }
 
@@ -184,8 +190,8 @@
       Result = Value.Scalar();
       return true;
     }
-    fault(Value.Mark(), Key,
-          "must be the SHA-256 of the token, 64 lower-case hex digits");
+    addError(Value.Mark(), Key,
+             "must be the SHA-256 of the token, 64 lower-case hex digits");
     return false;
   }
 
@@ -200,7 +206,7 @@
   void readTokens(const std::string &Name, const std::string &Key,
                   const YAML::Node &Value) {
     if (!Value.IsSequence()) {
-      fault(Value.Mark(), Key, "must be a list of SHA-256 digests");
+      addError(Value.Mark(), Key, "must be a list of SHA-256 digests");
       return;
     }
     std::vector<std::string> Digests;
@@ -227,7 +233,7 @@
   void readGuarantee(const std::string &Name, const std::string &Key,
                      const YAML::Node &Value) {
     if (!Value.IsSequence()) {
-      fault(Value.Mark(), Key, "must be a list of shapes");
+      addError(Value.Mark(), Key, "must be a list of shapes");
       return;
     }
     std::vector<GuaranteeShape> Shapes;
@@ -239,24 +245,26 @@
   void readShape(const std::string &Key, const YAML::Node &Item,
                  std::vector<GuaranteeShape> &Shapes) {
     if (!Item.IsMap()) {
-      fault(Item.Mark(), Key, "a shape is {count: N, accelerators: N}");
+      addError(Item.Mark(), Key,
+               "a shape must be a map: {count: N, accelerators: N}");
       return;
     }
     GuaranteeShape Shape;
     for (const auto &Pair : Item) {
-      const std::string &Part = Pair.first.Scalar();
-      if (Part == "count")
+      const std::string &Field = Pair.first.Scalar();
+      if (Field == "count")
         readNumber(Pair.second, Key + ".count", 1, MaxShapeCount, Shape.Count);
-      else if (Part == "accelerators")
+      else if (Field == "accelerators")
         readNumber(Pair.second, Key + ".accelerators", 1, MaxShapeAccelerators,
                    Shape.Accelerators);
-      else if (Part == "adjacency")
+      else if (Field == "adjacency")
         readAdjacency(Pair.second, Key + ".adjacency", Shape);
       else
-        unknown(Pair.first, Key + ".", {"count", "accelerators", "adjacency"});
+        addUnknownKey(Pair.first, Key + ".",
+                      {"count", "accelerators", "adjacency"});
     }
     if (Shape.Accelerators == 0)
-      fault(Item.Mark(), Key, "a shape needs the key accelerators");
+      addError(Item.Mark(), Key, "a shape must have the key accelerators");
     else
       Shapes.push_back(Shape);
   }
@@ -271,7 +279,7 @@
     else if (Name == "data_centre")
       Shape.Near = Adjacency::SameDataCentre;
     else
-      fault(Value.Mark(), Key, "must be worker, rack or data_centre");
+      addError(Value.Mark(), Key, "must be worker, rack or data_centre");
   }
 
   void readIdempotent(const std::string &Name, const std::string &Key,
@@ -279,7 +287,7 @@
     if (!Value.IsScalar() ||
         !YAML::convert<bool>::decode(Value,
                                      Report.Result.Services[Name].Idempotent))
-      fault(Value.Mark(), Key, "must be true or false");
+      addError(Value.Mark(), Key, "must be true or false");
   }
 
   void readDeadline(const std::string &Name, const std::string &Key,
@@ -294,20 +302,20 @@
 
   void readPolicy(const YAML::Node &Value) {
     if (!Value.IsMap()) {
-      fault(Value.Mark(), "policy", "must be a map of keys");
+      addError(Value.Mark(), "policy", "must be a map of keys");
       return;
     }
     for (const auto &Pair : Value) {
       if (Pair.first.Scalar() != "completion_weight") {
-        unknown(Pair.first, "policy.", {"completion_weight"});
+        addUnknownKey(Pair.first, "policy.", {"completion_weight"});
         continue;
       }
       double Weight = 0;
       if (!Pair.second.IsScalar() ||
           !YAML::convert<double>::decode(Pair.second, Weight) ||
           !(Weight >= 0 && Weight <= 1))
-        fault(Pair.second.Mark(), "policy.completion_weight",
-              "must be a number from 0 to 1");
+        addError(Pair.second.Mark(), "policy.completion_weight",
+                 "must be a number from 0 to 1");
       else
         Report.Result.CompletionWeight = Weight;
     }
@@ -350,7 +358,7 @@
   Reader Merged(Report);
   for (const auto &File : Files)
     Merged.readFile(File);
-  Merged.checkWhole();
+  Merged.checkMerged();
   return Report;
 }
 
@@ -369,12 +377,12 @@
                        It->path() + " cannot be read.");
       Files.push_back(File);
     }
-  } catch (const Poco::Exception &Fault) {
-    return failure(ResultCode::ConfigurationInvalid, Fault.displayText());
+  } catch (const Poco::Exception &Exception) {
+    return failure(ResultCode::ConfigurationInvalid, Exception.displayText());
   }
   if (Files.empty())
     return failure(ResultCode::ConfigurationInvalid,
-                   Folder + " holds no file that ends in .yaml.");
+                   Folder + " contains no file that ends in .yaml.");
   std::sort(Files.begin(), Files.end(), byName);
   return Files;
 }
--- a/src/config/Configuration.h
+++ b/src/config/Configuration.h
@@ -1,5 +1,3 @@
-/// \file
-/// The operators' configuration: workspaces, guarantees, services and policy.
 
 #ifndef BAOBABCOVE_CONFIG_CONFIGURATION_H
 #define BAOBABCOVE_CONFIG_CONFIGURATION_H
@@ -16,27 +14,27 @@
 
 namespace baobabcove {
 
-/// One workspace with its tokens, limits and guarantee.
+/// Configuration of one workspace: its tokens, limits and guarantee.
 struct WorkspaceConfiguration {
-  /// SHA-256 digests of the callers' tokens.
+  /// SHA-256 digests of the callers' tokens, in lower-case hexadecimal.
   std::vector<std::string> TokenDigests;
   std::uint32_t MaxRequests = 64;
   std::uint32_t MaxQueuedJobs = 1000;
   std::vector<GuaranteeShape> Guarantee;
 };
 
-/// One service that minions answer.
+/// Configuration of one service that minions run.
 struct ServiceConfiguration {
   bool Idempotent = false;
   std::uint32_t DeadlineMs = 10000;
 };
 
-/// One operator.
 struct OperatorConfiguration {
+  /// SHA-256 digest of the operator's token, in lower-case hexadecimal.
   std::string TokenDigest;
 };
 
-/// What the accepted files say.
+/// The operators' configuration: workspaces, services, operators and policy.
 struct Configuration {
   ConfigurationVersion Version;
   std::map<std::string, WorkspaceConfiguration> Workspaces;
@@ -46,35 +44,38 @@
   double CompletionWeight = 0.5;
 };
 
-/// One fault in the operators' files.
+/// One error in the operators' configuration files.
 struct ConfigurationFault {
   std::string File;
-  /// Line from 1; 0 when the fault is not in one line.
+  /// Line number from 1; 0 when the error has no single line.
   int Line = 0;
   std::string Key;
-  /// What is wrong and what would be right.
+  /// What is wrong, and what is expected instead.
   std::string Problem;
 
-  /// "file:line: key: problem".
+  /// Returns "file:line: key: problem", without a line of 0 or an empty key.
   std::string str() const;
 };
 
-/// A configuration together with every fault that was found in it.
+/// The result of reading a configuration. \c Result is complete only when there
+/// are no errors.
 struct ConfigurationReport {
   Configuration Result;
   std::vector<ConfigurationFault> Faults;
 };
 
-/// Merges the files of \p Bundle in the order of their names, a later file
-/// overriding single keys of an earlier one, and checks the whole.
+/// Merges the files of \p Bundle in the order of their names, where a later
+/// file overrides single keys of an earlier one, and validates the result.
 ConfigurationReport readConfiguration(const wire::ConfigurationBundle &Bundle);
 
-/// Reads every file ending in .yaml in \p Folder, in the order of the names.
-/// Fails with ConfigurationInvalid when the folder or a file is unreadable.
+/// Reads every file in \p Folder whose name ends in .yaml, in the order of the
+/// names. Fails with ConfigurationInvalid when the folder or a file cannot be
+/// read, or when there is no such file.
 Expected<std::vector<wire::ConfigurationFile>>
 readConfigurationFolder(const std::string &Folder);
 
-/// Names of the files that differ between two bundles.
+/// Returns the names of the files that differ between two bundles: first the
+/// added and changed ones, then the removed ones.
 std::vector<std::string> changedFiles(const wire::ConfigurationBundle &Older,
                                       const wire::ConfigurationBundle &Newer);
 
--- a/src/config/ConfigurationKeeper.cpp
+++ b/src/config/ConfigurationKeeper.cpp
@@ -7,24 +7,26 @@
 ConfigurationKeeper::ConfigurationKeeper()
     : Parsed(std::make_shared<Configuration>()) {}
 
-bool ConfigurationKeeper::offer(const wire::ConfigurationBundle &Offered) {
-  if (Offered.version() <= version().value())
+bool ConfigurationKeeper::offer(const wire::ConfigurationBundle &NewBundle) {
+  if (NewBundle.version() <= version().value())
     return false;
-  auto Report = readConfiguration(Offered);
-  auto Fresh = std::make_shared<const Configuration>(std::move(Report.Result));
-  std::vector<Listener> Called;
+  auto Report = readConfiguration(NewBundle);
+  auto NewConfiguration =
+      std::make_shared<const Configuration>(std::move(Report.Result));
+  std::vector<Listener> ToNotify;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    if (Offered.version() <= Bundle.version())
+    if (NewBundle.version() <= Bundle.version())
       return false;
-    Bundle = Offered;
-    Parsed = Fresh;
-    Called = Listeners;
+    Bundle = NewBundle;
+    Parsed = NewConfiguration;
+    ToNotify = Listeners;
   }
-  LOG4CPLUS_INFO(logOf("config"),
-                 "Version " << Offered.version() << " is in force.");
-  for (const auto &Each : Called)
-    Each(*Fresh);
+  LOG4CPLUS_INFO(logOf("config"), "Configuration version "
+                                      << NewBundle.version()
+                                      << " is in force.");
+  for (const auto &Notify : ToNotify)
+    Notify(*NewConfiguration);
   return true;
 }
 
@@ -43,9 +45,9 @@
   return Bundle;
 }
 
-void ConfigurationKeeper::listen(Listener Added) {
+void ConfigurationKeeper::listen(Listener NewListener) {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  Listeners.push_back(std::move(Added));
+  Listeners.push_back(std::move(NewListener));
 }
 
 } // namespace baobabcove
--- a/src/config/ConfigurationKeeper.h
+++ b/src/config/ConfigurationKeeper.h
@@ -1,5 +1,3 @@
-/// \file
-/// The newest configuration that this process has seen.
 
 #ifndef BAOBABCOVE_CONFIG_CONFIGURATIONKEEPER_H
 #define BAOBABCOVE_CONFIG_CONFIGURATIONKEEPER_H
@@ -12,23 +10,24 @@
 
 namespace baobabcove {
 
-/// Holds the bundle in force and refuses older ones, so that no process goes
-/// back to an earlier version. Thread-safe.
+/// Holds the configuration that is in force in this process. Ignores older
+/// versions, so that a process never goes back to one. Thread-safe.
 class ConfigurationKeeper {
 public:
   using Listener = std::function<void(const Configuration &)>;
 
   ConfigurationKeeper();
 
-  /// Takes \p Bundle into force if it is newer than the one held. Returns
-  /// whether it was taken.
+  /// Puts \p Bundle into force if its version is higher than the current one,
+  /// and notifies the listeners from the calling thread. Returns whether it was
+  /// put into force.
   bool offer(const wire::ConfigurationBundle &Bundle);
 
   ConfigurationVersion version() const;
   std::shared_ptr<const Configuration> current() const;
   wire::ConfigurationBundle bundle() const;
 
-  /// Calls \p Listener for each version taken from now on.
+  /// Registers \p Listener to be called with each later version.
   void listen(Listener Listener);
 
 private:
--- a/src/config/Settings.cpp
+++ b/src/config/Settings.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::string placeOf(const std::string &Source, const YAML::Mark &Mark) {
+std::string locationOf(const std::string &Source, const YAML::Mark &Mark) {
   return Source + ":" + std::to_string(Mark.line + 1) + ": ";
 }
 
@@ -22,18 +22,19 @@
   return Found == Keys.end() ? nullptr : &*Found;
 }
 
-std::string unknownKey(const std::string &Name) {
+std::string unknownKeyMessage(const std::string &Name) {
   std::vector<std::string> Known;
   for (const auto &Key : settingKeys())
     Known.emplace_back(Key.Key);
-  const std::string Nearest = nearestName(Name, Known);
+  const std::string Suggestion = nearestName(Name, Known);
   std::string Text = "unknown key \"" + Name + "\"";
-  if (!Nearest.empty())
-    Text += "; did you mean \"" + Nearest + "\"?";
+  if (!Suggestion.empty())
+    Text += "; did you mean \"" + Suggestion + "\"?";
   return Text;
 }
 
-/// Writes one YAML value into the member of a key; returns what is wrong.
+/// Writes one YAML value into the member of a key. Returns what is wrong with
+/// the value, or an empty string.
 struct ValueWriter {
   Settings &Target;
   const SettingKey &Key;
@@ -41,7 +42,7 @@
 
   std::string operator()(std::string Settings::*Member) const {
     if (!Value.IsScalar())
-      return "must be one text";
+      return "must be a string";
     Target.*Member = Value.Scalar();
     return {};
   }
@@ -49,20 +50,20 @@
   std::string operator()(std::uint32_t Settings::*Member) const {
     long long Number = 0;
     if (!Value.IsScalar() || !YAML::convert<long long>::decode(Value, Number) ||
-        Number < Key.Least || Number > Key.Most)
-      return "must be a whole number from " + std::to_string(Key.Least) +
-             " to " + std::to_string(Key.Most);
+        Number < Key.Min || Number > Key.Max)
+      return "must be a whole number from " + std::to_string(Key.Min) + " to " +
+             std::to_string(Key.Max);
     Target.*Member = static_cast<std::uint32_t>(Number);
     return {};
   }
 
   std::string operator()(std::vector<std::string> Settings::*Member) const {
     if (!Value.IsSequence())
-      return "must be a list of texts";
+      return "must be a list of strings";
     std::vector<std::string> Items;
     for (const auto &Item : Value) {
       if (!Item.IsScalar())
-        return "must be a list of texts";
+        return "must be a list of strings";
       Items.push_back(Item.Scalar());
     }
     Target.*Member = std::move(Items);
@@ -72,15 +73,16 @@
 
 Expected<void> writeValue(Settings &Target, const std::string &Source,
                           const std::string &Name, const YAML::Node &Value) {
-  const std::string At = placeOf(Source, Value.Mark());
+  const std::string Location = locationOf(Source, Value.Mark());
   const SettingKey *Key = findKey(Name);
   if (!Key)
-    return failure(ResultCode::SettingsInvalid, At + unknownKey(Name) + ".");
+    return failure(ResultCode::SettingsInvalid,
+                   Location + unknownKeyMessage(Name) + ".");
   const std::string Problem =
       std::visit(ValueWriter{Target, *Key, Value}, Key->Member);
   if (!Problem.empty())
     return failure(ResultCode::SettingsInvalid,
-                   At + "key \"" + Name + "\" " + Problem + ".");
+                   Location + "key \"" + Name + "\" " + Problem + ".");
   return {};
 }
 
@@ -95,15 +97,16 @@
       return {};
     if (!Root.IsMap())
       return failure(ResultCode::SettingsInvalid,
-                     placeOf(Path, Root.Mark()) + "must be a map of keys.");
+                     locationOf(Path, Root.Mark()) +
+                         "the file must be a map of keys.");
     for (const auto &Pair : Root) {
       auto Written = writeValue(Target, Path, Pair.first.Scalar(), Pair.second);
       if (!Written)
         return Written;
     }
-  } catch (const YAML::Exception &Fault) {
+  } catch (const YAML::Exception &Exception) {
     return failure(ResultCode::SettingsInvalid,
-                   placeOf(Path, Fault.mark) + Fault.msg + ".");
+                   locationOf(Path, Exception.mark) + Exception.msg + ".");
   }
   return {};
 }
@@ -112,15 +115,15 @@
   const std::size_t Equals = Override.find('=');
   if (Equals == std::string::npos)
     return failure(ResultCode::SettingsInvalid,
-                   "--set: \"" + Override + "\" must read key=value.");
+                   "--set: \"" + Override + "\" must have the form key=value.");
   try {
     YAML::Node Value = YAML::Load(Override.substr(Equals + 1));
     if (Value.IsNull())
       Value = YAML::Node(std::string());
     return writeValue(Target, "--set", Override.substr(0, Equals), Value);
-  } catch (const YAML::Exception &Fault) {
+  } catch (const YAML::Exception &Exception) {
     return failure(ResultCode::SettingsInvalid,
-                   "--set: \"" + Override + "\": " + Fault.msg + ".");
+                   "--set: \"" + Override + "\": " + Exception.msg + ".");
   }
 }
 
@@ -130,8 +133,8 @@
                    "key \"node\" is missing; give this process a name.");
   if (Checked.WorkerSilenceMs < Checked.IsolationMs + Checked.HeartbeatMs)
     return failure(ResultCode::SettingsInvalid,
-                   "key \"worker_silence_ms\" must be at least isolation_ms "
-                   "and heartbeat_ms together.");
+                   "key \"worker_silence_ms\" must be at least the sum of "
+                   "isolation_ms and heartbeat_ms.");
   if (Checked.LogFormat != "text" && Checked.LogFormat != "json")
     return failure(ResultCode::SettingsInvalid,
                    "key \"log_format\" must be text or json.");
@@ -204,19 +207,19 @@
                                 const std::vector<std::string> &Overrides) {
   Settings Result;
   if (!Path.empty()) {
-    if (auto Done = readFileInto(Result, Path); !Done)
-      return tl::unexpected<Error>(Done.error());
+    if (auto Status = readFileInto(Result, Path); !Status)
+      return tl::unexpected<Error>(Status.error());
   }
   for (const auto &Override : Overrides) {
-    if (auto Done = readOverride(Result, Override); !Done)
-      return tl::unexpected<Error>(Done.error());
+    if (auto Status = readOverride(Result, Override); !Status)
+      return tl::unexpected<Error>(Status.error());
   }
   return Result;
 }
 
 Expected<void> checkEntrySettings(const Settings &Checked) {
-  if (auto Done = checkCommon(Checked); !Done)
-    return Done;
+  if (auto Status = checkCommon(Checked); !Status)
+    return Status;
   if (Checked.StoreAddress.empty())
     return failure(ResultCode::SettingsInvalid,
                    "key \"store_address\" is missing; name the store.");
@@ -224,8 +227,8 @@
 }
 
 Expected<void> checkAgentSettings(const Settings &Checked) {
-  if (auto Done = checkCommon(Checked); !Done)
-    return Done;
+  if (auto Status = checkCommon(Checked); !Status)
+    return Status;
   if (Checked.TargetKind != "minion" && Checked.TargetKind != "worker")
     return failure(ResultCode::SettingsInvalid,
                    "key \"target_kind\" must be minion or worker.");
--- a/src/config/Settings.h
+++ b/src/config/Settings.h
@@ -1,5 +1,3 @@
-/// \file
-/// Settings of one process, from a YAML file and the command line.
 
 #ifndef BAOBABCOVE_CONFIG_SETTINGS_H
 #define BAOBABCOVE_CONFIG_SETTINGS_H
@@ -14,7 +12,8 @@
 
 namespace baobabcove {
 
-/// Settings of an entry or an agent. docs/CONFIGURATION.md lists every key.
+/// Settings of an entry or an agent, from a YAML file and the command line.
+/// docs/CONFIGURATION.md describes every key.
 struct Settings {
   std::string Node;
   std::string Place;
@@ -23,7 +22,7 @@
   std::string Cell = "main";
   std::string HttpAddress = "127.0.0.1:0";
   std::string RpcAddress = "127.0.0.1:0";
-  /// Addresses that peers and callers use; empty means the bound ones.
+  /// Address that peers use; empty means the bound RPC address.
   std::string AdvertisedRpcAddress;
   std::string StoreAddress;
   /// SHA-256 of the token that may apply the first configuration.
@@ -56,33 +55,35 @@
   std::uint32_t JobRetentionS = 86400;
 };
 
-/// Where the value of a setting is kept.
+/// The member of Settings that holds the value of a key.
 using SettingMember =
     std::variant<std::string Settings::*, std::uint32_t Settings::*,
                  std::vector<std::string> Settings::*>;
 
-/// One key of the settings file.
+/// One key of the settings file. docs/CONFIGURATION.md repeats the help text.
 struct SettingKey {
   std::string_view Key;
   SettingMember Member;
   std::string_view Help;
-  /// Range of a number, both ends allowed.
-  std::uint32_t Least = 0;
-  std::uint32_t Most = 0;
+  /// Inclusive range of a number; unused for other types.
+  std::uint32_t Min = 0;
+  std::uint32_t Max = 0;
 };
 
-/// All keys, in the order of the documentation.
+/// Returns all keys, in the order of the documentation.
 const std::vector<SettingKey> &settingKeys();
 
-/// Reads \p Path (empty: no file) and then \p Overrides of the form
-/// "key=value". Fails with SettingsInvalid; the detail names file, line and
-/// key, and for an unknown key the nearest known one.
+/// Reads the YAML file \p Path, unless that is empty, and then applies
+/// \p Overrides of the form "key=value". Fails with SettingsInvalid; the detail
+/// names file, line and key, and suggests a known key for an unknown one.
 Expected<Settings> readSettings(const std::string &Path,
                                 const std::vector<std::string> &Overrides);
 
-/// Checks what each key alone cannot show, such as the keys that an agent
-/// needs. Fails with SettingsInvalid.
+/// Checks the keys that an entry requires, and constraints between keys. Fails
+/// with SettingsInvalid.
 Expected<void> checkEntrySettings(const Settings &Checked);
+/// Checks the keys that an agent requires, and constraints between keys. Fails
+/// with SettingsInvalid.
 Expected<void> checkAgentSettings(const Settings &Checked);
 
 } // namespace baobabcove
--- a/tests/config/ConfigurationTest.cpp
+++ b/tests/config/ConfigurationTest.cpp
@@ -10,7 +10,7 @@
     "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08";
 
 wire::ConfigurationBundle
-bundle(const std::vector<std::pair<std::string, std::string>> &Files) {
+makeBundle(const std::vector<std::pair<std::string, std::string>> &Files) {
   wire::ConfigurationBundle Bundle;
   for (const auto &[Name, Content] : Files) {
     auto *File = Bundle.add_files();
@@ -20,11 +20,11 @@
   return Bundle;
 }
 
-std::string operators() {
+std::string operatorsSection() {
   return std::string("operators:\n  yuki: {token: ") + Digest + "}\n";
 }
 
-std::string faults(const ConfigurationReport &Report) {
+std::string faultsText(const ConfigurationReport &Report) {
   std::string Text;
   for (const auto &Fault : Report.Faults)
     Text += Fault.str() + "\n";
@@ -36,11 +36,11 @@
 TEST_GROUP(Configuration){};
 
 TEST(Configuration, MergesFilesInTheOrderOfTheirNames) {
-  const auto Report = readConfiguration(
-      bundle({{"20.yaml", "workspaces:\n  shed: {max_requests: 7}\n"},
-              {"10.yaml", operators() + "workspaces:\n  shed: {max_requests: "
+  const auto Report = readConfiguration(makeBundle(
+      {{"20.yaml", "workspaces:\n  shed: {max_requests: 7}\n"},
+       {"10.yaml", operatorsSection() + "workspaces:\n  shed: {max_requests: "
                                         "5, max_queued_jobs: 3}\n"}}));
-  STRCMP_EQUAL("", faults(Report).c_str());
+  STRCMP_EQUAL("", faultsText(Report).c_str());
   const auto &Shed = Report.Result.Workspaces.at("shed");
   UNSIGNED_LONGS_EQUAL(7, Shed.MaxRequests);
   UNSIGNED_LONGS_EQUAL(3, Shed.MaxQueuedJobs);
@@ -48,40 +48,40 @@
 
 TEST(Configuration, ReportsEveryFaultWithFileLineAndKey) {
   const auto Report = readConfiguration(
-      bundle({{"10.yaml", operators() + "workspaces:\n  shed:\n"
-                                        "    max_requets: 5\n"
-                                        "    max_queued_jobs: -3\n"},
-              {"20.yaml", "servces: {}\n"}}));
+      makeBundle({{"10.yaml", operatorsSection() + "workspaces:\n  shed:\n"
+                                                   "    max_requets: 5\n"
+                                                   "    max_queued_jobs: -3\n"},
+                  {"20.yaml", "servces: {}\n"}}));
   STRCMP_EQUAL("10.yaml:5: workspaces.shed.max_requets: unknown key; did you "
                "mean \"max_requests\"?\n"
                "10.yaml:6: workspaces.shed.max_queued_jobs: must be a whole "
                "number from 1 to 100000\n"
                "20.yaml:1: servces: unknown key; did you mean "
                "\"services\"?\n",
-               faults(Report).c_str());
+               faultsText(Report).c_str());
 }
 
-TEST(Configuration, RefusesBrokenYamlWithItsLine) {
+TEST(Configuration, ReportsTheLineOfMalformedYaml) {
   const auto Report =
-      readConfiguration(bundle({{"10.yaml", "operators: {yuki\nx: ]\n"}}));
+      readConfiguration(makeBundle({{"10.yaml", "operators: {yuki\nx: ]\n"}}));
   CHECK_TRUE(!Report.Faults.empty());
   STRCMP_EQUAL("10.yaml", Report.Faults[0].File.c_str());
   CHECK_TRUE(Report.Faults[0].Line > 0);
 }
 
-TEST(Configuration, RefusesAFolderThatNamesNoOperator) {
-  const auto Report = readConfiguration(bundle({{"10.yaml", ""}}));
+TEST(Configuration, RefusesAConfigurationWithoutOperators) {
+  const auto Report = readConfiguration(makeBundle({{"10.yaml", ""}}));
   LONGS_EQUAL(1, Report.Faults.size());
   STRCMP_EQUAL("operators", Report.Faults[0].Key.c_str());
 }
 
 TEST(Configuration, ReadsGuaranteedShapes) {
-  const auto Report = readConfiguration(
-      bundle({{"10.yaml", operators() +
-                              "workspaces:\n  shed:\n    guarantee:\n"
-                              "      - {count: 2, accelerators: 16, adjacency: "
-                              "rack}\n"}}));
-  STRCMP_EQUAL("", faults(Report).c_str());
+  const auto Report = readConfiguration(makeBundle(
+      {{"10.yaml", operatorsSection() +
+                       "workspaces:\n  shed:\n    guarantee:\n"
+                       "      - {count: 2, accelerators: 16, adjacency: "
+                       "rack}\n"}}));
+  STRCMP_EQUAL("", faultsText(Report).c_str());
   const auto &Shapes = Report.Result.Workspaces.at("shed").Guarantee;
   LONGS_EQUAL(1, Shapes.size());
   UNSIGNED_LONGS_EQUAL(2, Shapes[0].Count);
@@ -90,22 +90,23 @@
 }
 
 TEST(Configuration, LoadsTheSamplesOfBothDeployments) {
-  for (const char *Site : {"kumasaka", "skoljka"}) {
+  for (const char *Deployment : {"kumasaka", "skoljka"}) {
     const auto Files = readConfigurationFolder(std::string(SOURCE_FOLDER) +
-                                               "/samples/" + Site);
+                                               "/samples/" + Deployment);
     CHECK_TRUE(Files.has_value());
     wire::ConfigurationBundle Bundle;
     for (const auto &File : *Files)
       *Bundle.add_files() = File;
     const auto Report = readConfiguration(Bundle);
-    STRCMP_EQUAL("", faults(Report).c_str());
+    STRCMP_EQUAL("", faultsText(Report).c_str());
     LONGS_EQUAL(4, Report.Result.Workspaces.size());
   }
 }
 
-TEST(Configuration, NamesTheFilesThatDiffer) {
-  const auto Names = changedFiles(bundle({{"a", "1"}, {"b", "2"}, {"c", "3"}}),
-                                  bundle({{"a", "1"}, {"b", "x"}, {"d", "4"}}));
+TEST(Configuration, ListsTheFilesThatDiffer) {
+  const auto Names =
+      changedFiles(makeBundle({{"a", "1"}, {"b", "2"}, {"c", "3"}}),
+                   makeBundle({{"a", "1"}, {"b", "x"}, {"d", "4"}}));
   LONGS_EQUAL(3, Names.size());
   STRCMP_EQUAL("b", Names[0].c_str());
   STRCMP_EQUAL("d", Names[1].c_str());
--- a/tests/config/SettingsTest.cpp
+++ b/tests/config/SettingsTest.cpp
@@ -17,33 +17,33 @@
     std::ofstream(File.path()) << Text;
     return readSettings(File.path(), Overrides);
   }
-  std::string faultOf(const std::string &Text) {
+  std::string errorDetail(const std::string &Text) {
     const auto Read = read(Text);
     return Read ? std::string()
                 : Read.error().Detail.substr(File.path().size());
   }
 };
 
-TEST(Settings, LetsOverridesGoBeforeTheFile) {
+TEST(Settings, AppliesOverridesAfterTheFile) {
   const auto Read = read("node: a\nslots: 4\n", {"slots=9"});
   CHECK_TRUE(Read.has_value());
   STRCMP_EQUAL("a", Read->Node.c_str());
   UNSIGNED_LONGS_EQUAL(9, Read->Slots);
 }
 
-TEST(Settings, NamesLineAndNearestKeyForAnUnknownOne) {
+TEST(Settings, ReportsLineAndSuggestionForAnUnknownKey) {
   STRCMP_EQUAL(":2: unknown key \"slosts\"; did you mean \"slots\"?.",
-               faultOf("node: a\nslosts: 4\n").c_str());
+               errorDetail("node: a\nslosts: 4\n").c_str());
 }
 
 TEST(Settings, RefusesNumbersOutOfRange) {
   STRCMP_EQUAL(":1: key \"slots\" must be a whole number from 1 to 4096.",
-               faultOf("slots: -1\n").c_str());
+               errorDetail("slots: -1\n").c_str());
   STRCMP_EQUAL(":1: key \"slots\" must be a whole number from 1 to 4096.",
-               faultOf("slots: 99999999999999999999\n").c_str());
+               errorDetail("slots: 99999999999999999999\n").c_str());
 }
 
-TEST(Settings, AreAllNamedInTheDocs) {
+TEST(Settings, AreAllDocumented) {
   std::string Docs;
   CHECK_TRUE(
       readFile(std::string(SOURCE_FOLDER) + "/docs/CONFIGURATION.md", Docs));
@@ -54,9 +54,11 @@
   }
 }
 
-TEST(Settings, RefusesBrokenYaml) { CHECK_TRUE(!faultOf("node: [\n").empty()); }
+TEST(Settings, RefusesMalformedYaml) {
+  CHECK_TRUE(!errorDetail("node: [\n").empty());
+}
 
-TEST(Settings, RequiresWhatAnAgentNeeds) {
+TEST(Settings, RefusesAnAgentWithoutItsRequiredKeys) {
   Settings Agent;
   Agent.Node = "n";
   const auto Checked = checkAgentSettings(Agent);
@@ -64,7 +66,7 @@
   CHECK_TRUE(ResultCode::SettingsInvalid == Checked.error().Code);
 }
 
-TEST(Settings, RefusesASilenceShorterThanTheIsolation) {
+TEST(Settings, RefusesAWorkerSilenceShorterThanIsolationPlusHeartbeat) {
   Settings Entry;
   Entry.Node = "n";
   Entry.StoreAddress = "127.0.0.1:1";
