--- a/include/baobabcove/Clock.h
+++ b/include/baobabcove/Clock.h
@@ -1,5 +1,3 @@
-/// \file
-/// Time as the parts of baobabcove see it.
 
 #ifndef BAOBABCOVE_CLOCK_H
 #define BAOBABCOVE_CLOCK_H
@@ -12,23 +10,22 @@
 
 using Milliseconds = std::chrono::milliseconds;
 
-/// A point on the process's own monotonic clock, in milliseconds. It counts on
-/// while the process is stopped, so that a lease seen after a pause is judged
-/// by the time that really passed.
+/// A point on the monotonic clock, in milliseconds. The clock advances while
+/// the process is stopped, so that a lease is found expired after a long pause.
 using Instant = std::chrono::time_point<std::chrono::steady_clock,
                                         std::chrono::milliseconds>;
 
-/// The monotonic time now.
+/// Returns the current time of the monotonic clock.
 inline Instant monotonicNow() {
   return std::chrono::time_point_cast<Milliseconds>(
       std::chrono::steady_clock::now());
 }
 
-/// A point on the clock that counts on while the machine is suspended, which
-/// the monotonic clock does not. Leases and proofs of freshness are judged by
-/// it.
+/// A point on BootClock.
 using BootInstant = std::chrono::time_point<struct BootClock, Milliseconds>;
 
+/// CLOCK_BOOTTIME. Unlike the monotonic clock, it advances while the machine is
+/// suspended, so that leases and the age of cached data include that time.
 struct BootClock {
   using duration = Milliseconds;
   using rep = duration::rep;
@@ -43,7 +40,8 @@
   }
 };
 
-/// Milliseconds since the Unix epoch, for records that people read.
+/// Returns the milliseconds since the Unix epoch, for display and records. The
+/// wall clock may jump.
 inline std::int64_t wallClockMs() {
   const auto Now = std::chrono::system_clock::now().time_since_epoch();
   return std::chrono::duration_cast<Milliseconds>(Now).count();
--- a/include/baobabcove/Ids.h
+++ b/include/baobabcove/Ids.h
@@ -1,5 +1,5 @@
 /// \file
-/// The identifiers and numbers that travel between the parts of baobabcove.
+/// Identifiers and sequence numbers shared by all components.
 
 #ifndef BAOBABCOVE_IDS_H
 #define BAOBABCOVE_IDS_H
@@ -8,30 +8,30 @@
 
 namespace baobabcove {
 
-/// A tenant with its guarantee, limits and tokens.
+/// A tenant, which has a guarantee, limits and tokens.
 using WorkspaceId = StrongString<struct WorkspaceTag>;
 /// A submitted job.
 using JobId = StrongString<struct JobTag>;
-/// A process of the system: an entry, or the agent of a minion or worker.
+/// A process: an entry, or the agent of a minion or worker.
 using NodeId = StrongString<struct NodeTag>;
-/// A caller's request, unique within its workspace.
+/// A request of a caller, unique within its workspace.
 using RequestId = StrongString<struct RequestTag>;
-/// A group of minions that answer the same requests.
+/// A service, provided by a group of interchangeable minions.
 using ServiceName = StrongString<struct ServiceTag>;
-/// A region, holding data centres.
+/// A region, which contains data centres.
 using PlaceName = StrongString<struct PlaceTag>;
-/// A data centre, holding racks.
+/// A data centre, which contains racks.
 using DataCentreName = StrongString<struct DataCentreTag>;
-/// A rack, holding workers.
+/// A rack, which contains workers.
 using RackName = StrongString<struct RackTag>;
 
-/// Number of a coordinator's term; agents refuse commands of older terms.
+/// Term of a coordinator; agents refuse commands of earlier terms.
 using Epoch = StrongNumber<struct EpochTag>;
-/// Number of one life of a process; a later life has a higher one.
+/// Incarnation of a process; it increases with each restart.
 using Incarnation = StrongNumber<struct IncarnationTag>;
-/// Number of a start of a job; a restarted job has a higher one.
+/// Attempt at running a job; it increases with each restart of the job.
 using Attempt = StrongNumber<struct AttemptTag>;
-/// Number of an accepted configuration.
+/// Version of an accepted configuration; it increases with each change.
 using ConfigurationVersion = StrongNumber<struct ConfigurationVersionTag>;
 
 } // namespace baobabcove
--- a/include/baobabcove/ResultCode.h
+++ b/include/baobabcove/ResultCode.h
@@ -1,5 +1,5 @@
 /// \file
-/// The numbered results that callers, operators and logs see.
+/// Result codes of requests, jobs and commands, and the error type.
 
 #ifndef BAOBABCOVE_RESULTCODE_H
 #define BAOBABCOVE_RESULTCODE_H
@@ -13,7 +13,7 @@
 
 namespace baobabcove {
 
-/// Numbers of the result table. They are stable: a number is never reused.
+/// Result codes. The numbers are part of the API and are never reused.
 enum class ResultCode : std::uint32_t {
   Ok = 0,
   MalformedRequest = 1001,
@@ -61,40 +61,48 @@
   PeerNotConnected = 1704,
 };
 
-/// Whether the work behind a result was run.
-enum class Outcome { Answered, NotRun, Unknown };
+/// Whether the requested work was run.
+enum class Outcome {
+  /// The work was run and has a result.
+  Answered,
+  /// The work was not run and will not be.
+  NotRun,
+  /// The work may have been run.
+  Unknown
+};
 
-/// One row of the result table.
+/// Description of one result code. docs/RESULT_CODES.md repeats the table.
 struct ResultInfo {
   ResultCode Code;
   std::string_view Name;
   Outcome Ran;
-  /// HTTP status under which callers see the result.
+  /// HTTP status of responses with this result.
   int HttpStatus;
-  /// What the receiver should do next.
+  /// Advice to the caller or operator, one sentence.
   std::string_view NextStep;
 };
 
-/// The whole table in the order of its numbers.
+/// Returns the descriptions of all result codes, in the order of their numbers.
 const std::vector<ResultInfo> &resultTable();
 
-/// The row of \p Code. A number that is not in the table yields the row of
-/// OutcomeUnknown.
+/// Returns the description of \p Code, or that of OutcomeUnknown when \p Code
+/// is not a known number.
 const ResultInfo &resultInfo(ResultCode Code);
 
-/// The printed form of an outcome: "answered", "not run" or "unknown".
+/// Returns the printed form of an outcome: "answered", "not run" or "unknown".
 std::string_view outcomeName(Outcome Ran);
 
-/// A refusal or failure: its code and what was wrong, in one sentence.
+/// A refusal or failure.
 struct Error {
   ResultCode Code = ResultCode::Ok;
+  /// What is wrong, in one sentence.
   std::string Detail;
 };
 
-/// A value or the reason why there is none.
+/// A value, or the error because of which there is none.
 template <class T> using Expected = tl::expected<T, Error>;
 
-/// Shorthand for a failed Expected.
+/// Returns an error that converts to any Expected.
 inline tl::unexpected<Error> failure(ResultCode Code, std::string Detail) {
   return tl::unexpected<Error>(Error{Code, std::move(Detail)});
 }
--- a/include/baobabcove/Scheduler.h
+++ b/include/baobabcove/Scheduler.h
@@ -1,7 +1,7 @@
 /// \file
-/// The decision library: events and a clock in, commands out. It does no input
-/// or output, starts no thread and never reads a clock of its own, so that the
-/// same events always lead to the same commands.
+/// The scheduling library. It takes events and the current time, and returns
+/// commands. It does no I/O, starts no threads and reads no clock, so that the
+/// same sequence of events always yields the same commands.
 
 #ifndef BAOBABCOVE_SCHEDULER_H
 #define BAOBABCOVE_SCHEDULER_H
@@ -18,24 +18,25 @@
 
 namespace baobabcove {
 
-/// How close to each other the tasks of a gang must run.
+/// Topology constraint on the placement of a gang's tasks.
 enum class Adjacency { Any, SameWorker, SameRack, SameDataCentre };
 
-/// A number of equal pieces of a guarantee. A piece that fits into one worker
-/// is rounded up to a power of two, a larger one to whole workers.
+/// A number of equal cells of a guarantee. The accelerators of a cell are
+/// rounded up to a power of two when it fits into one worker, and to whole
+/// workers otherwise.
 struct GuaranteeShape {
   std::uint32_t Count = 1;
   std::uint32_t Accelerators = 0;
   Adjacency Near = Adjacency::SameWorker;
 };
 
-/// What a workspace can always claim.
+/// The capacity that a workspace can claim at any time.
 struct WorkspaceGuarantee {
   WorkspaceId Workspace;
   std::vector<GuaranteeShape> Shapes;
 };
 
-/// A worker as it announced itself.
+/// Properties of a worker, as its agent reports them.
 struct WorkerInfo {
   NodeId Id;
   PlaceName Place;
@@ -44,25 +45,25 @@
   std::uint32_t Accelerators = 0;
   std::uint32_t Cores = 0;
   std::uint64_t MemoryMb = 0;
-  /// A draining worker finishes its tasks and gets no new ones.
+  /// Whether the worker finishes its tasks and accepts no new ones.
   bool Draining = false;
 };
 
-/// A job as it was submitted.
+/// A job as submitted.
 struct JobInfo {
   JobId Id;
   WorkspaceId Workspace;
-  /// Jobs of one class are expected to run alike.
+  /// Jobs of one class are expected to have similar run times.
   std::string Class;
   std::uint32_t Tasks = 1;
   std::uint32_t AcceleratorsPerTask = 1;
   Adjacency Near = Adjacency::Any;
   std::uint32_t CoresPerTask = 0;
   std::uint64_t MemoryMbPerTask = 0;
-  /// What the caller believes; zero when unsaid.
+  /// Run time that the caller declared; zero when not declared.
   Milliseconds DeclaredRun{0};
   bool Urgent = false;
-  /// Whether the job may be run again after it may have started.
+  /// Whether the job may be restarted after an attempt that may have run.
   bool Idempotent = true;
   Instant Submitted;
 };
@@ -73,41 +74,50 @@
   std::uint32_t Tasks = 0;
 };
 
-/// Command: reserve the gang on every member, then start it whole.
+/// Command to reserve resources for a gang on every member, and then to start
+/// all its tasks.
 struct StartGang {
   JobId Job;
   Attempt Number;
   std::vector<Placement> Members;
   /// Whether the gang runs above its workspace's guarantee.
   bool Borrowed = false;
-  /// Run time that the last checkpoint kept.
+  /// Run time saved by the last checkpoint, from which the job resumes.
   Milliseconds Resume{0};
 };
 
 /// Why a gang is stopped.
 enum class StopReason {
+  /// The caller cancelled the job.
   Cancelled,
+  /// Another workspace claims its guarantee.
   Reclaimed,
+  /// It is moved so that a larger gang fits onto the free accelerators.
   Compacted,
+  /// It is preempted by a job that ranks higher.
   Outranked,
+  /// One of its workers is draining.
   Drained,
+  /// Not issued by the scheduler.
   Broken
 };
 
-/// The printed form of \p Reason.
+/// Returns the printed form of \p Reason.
 const char *stopReasonName(StopReason Reason);
 
-/// Command: stop the gang on every member.
+/// Command to stop a gang on every member.
 struct StopGang {
   JobId Job;
   Attempt Number;
   StopReason Reason = StopReason::Cancelled;
-  /// Ask for a checkpoint first, and stop without one after the deadline.
+  /// Whether to request a checkpoint first. The gang is stopped without one
+  /// after \c Deadline.
   bool Checkpoint = false;
+  /// Time allowed for the checkpoint.
   Milliseconds Deadline{0};
 };
 
-/// Command: the job has ended without (another) run.
+/// Command to end a job without starting it, or without restarting it.
 struct EndJob {
   JobId Job;
   ResultCode Code = ResultCode::Ok;
@@ -119,107 +129,115 @@
 /// How a gang ended.
 enum class GangResult {
   Succeeded,
-  /// A task reported failure on the blamed worker.
+  /// A task failed on the worker \c GangEnd::Blamed.
   Failed,
-  /// A member was lost or could not keep its lease.
+  /// A worker was lost, or its lease expired.
   Lost,
-  /// Stopped by command; the progress says what a checkpoint kept.
+  /// Stopped by command. \c GangEnd::Progress is what a checkpoint has saved.
   Stopped,
 };
 
-/// The end of a gang, as one fact about all its members.
+/// The combined result of all members of a gang.
 struct GangEnd {
   GangResult Result = GangResult::Succeeded;
-  /// The worker that failed or was lost; empty when none is to blame.
+  /// The worker that failed or was lost; empty when there is none.
   NodeId Blamed;
-  /// Run time that can be resumed, counted from the start of the job.
+  /// Run time from which the job can resume, since its first start.
   Milliseconds Progress{0};
-  /// Whether any task may have run a step.
+  /// Whether any task may have run.
   bool MayHaveRun = true;
-  /// Whether a stopped gang wrote a checkpoint on every member first.
+  /// Whether every member of a stopped gang wrote a checkpoint.
   bool Checkpointed = false;
 };
 
-/// What a scheduler may be tuned by.
+/// Tuning parameters of a scheduler.
 struct SchedulerOptions {
   /// "packing" (the default), "best-fit" or "first-fit".
   std::string Policy = "packing";
   /// Weight of completion time against fragmentation, from 0 to 1.
   double CompletionWeight = 0.5;
-  /// Time a gang may take to write a checkpoint before it is stopped.
+  /// Time allowed for a checkpoint when a guarantee is reclaimed.
   Milliseconds CheckpointDeadline{20000};
-  /// The same when nothing hurries, as for compaction.
+  /// Time allowed for a checkpoint when the stop is not urgent, as for
+  /// draining, compaction and preemption by a higher rank.
   Milliseconds PatientCheckpointDeadline{600000};
-  /// The same when urgent work waits for the accelerators.
+  /// Time allowed for a checkpoint when an urgent job reclaims its guarantee.
   Milliseconds UrgentCheckpointDeadline{1200};
-  /// A job that has waited this long goes before all that has not.
+  /// Jobs that have waited longer than this rank before all others.
   Milliseconds AgeLimit{10 * 3600 * 1000};
-  /// Run time lost by a stop and restart, as the compaction reckons it.
+  /// Estimated run time lost by stopping and restarting a gang.
   Milliseconds RestartCost{30000};
 };
 
-/// Figures of a scheduler's present state.
+/// Statistics of a scheduler's current state.
 struct SchedulerFigures {
   std::size_t Queued = 0;
   std::size_t Running = 0;
   std::uint64_t FreeAccelerators = 0;
   std::uint64_t TotalAccelerators = 0;
   std::size_t Quarantined = 0;
-  /// Guaranteed pieces that the present workers cannot hold.
+  /// Guaranteed cells that cannot be packed onto the current workers.
   std::size_t UnpackableCells = 0;
   std::uint64_t Reclaims = 0;
   std::uint64_t Compactions = 0;
 };
 
-/// Decides what runs where. Not thread-safe: one thread owns it.
+/// Decides which jobs run on which workers. Not thread-safe.
 class Scheduler {
 public:
   explicit Scheduler(const SchedulerOptions &Options);
   ~Scheduler();
 
-  /// A worker announced itself, for the first time or with changed facts.
+  /// Event: a worker reported itself for the first time or with changed
+  /// properties.
   void workerSeen(const WorkerInfo &Info, Instant Now);
-  /// A worker is gone. The gangs on it end by their own gangEnded events.
+  /// Event: a worker was lost. Its gangs end by gangEnded events of their own.
   void workerLost(const NodeId &Worker, Instant Now);
-  /// The guarantees in force, replacing the earlier ones.
+  /// Replaces the guarantees.
   void setGuarantees(const std::vector<WorkspaceGuarantee> &Guarantees);
-  /// The weight of completion time against fragmentation, from 0 to 1.
+  /// Sets the weight of completion time against fragmentation, from 0 to 1.
   void setCompletionWeight(double Weight);
 
-  /// A job was accepted.
+  /// Event: a job was accepted.
   void jobQueued(const JobInfo &Info, Instant Now);
-  /// A job was already running when this scheduler began. \p Kept is the run
-  /// time that an earlier checkpoint kept.
+  /// Event: a job was already running when this scheduler was created.
   void jobRunning(const JobInfo &Info, Attempt Number,
                   const std::vector<Placement> &Members, bool Borrowed,
                   Instant Started);
-  /// The next attempt of \p Job gets a number above \p Last.
+  /// Event: earlier attempts of \p Job are known, up to the number \p Last. The
+  /// next attempt gets a higher number. \p Kept is the run time that a
+  /// checkpoint has saved.
   void attemptUsed(const JobId &Job, Attempt Last, Milliseconds Kept);
-  /// The caller wants the job ended.
+  /// Event: the caller cancelled the job.
   void jobCancelled(const JobId &Job, Instant Now);
 
-  /// Every member of the gang runs.
+  /// Event: every member of the gang is running.
   void gangStarted(const JobId &Job, Attempt Number, Instant Now);
-  /// The gang could not be started; nothing of it ran. \p Refusing is empty
-  /// when no single member was the cause.
+  /// Event: the gang could not be started, and none of its tasks ran.
+  /// \p Refusing is empty when no single worker was the cause.
   void gangRefused(const JobId &Job, Attempt Number, const NodeId &Refusing,
                    Instant Now);
-  /// The gang has ended on every member.
+  /// Event: the gang has ended on every member.
   void gangEnded(const JobId &Job, Attempt Number, const GangEnd &End,
                  Instant Now);
-  /// A worker reported what a running gang uses; reports may lag.
+  /// Event: the measured memory of each task of a running gang, in MiB. Reports
+  /// may be delayed.
   void usageReported(const JobId &Job, std::uint64_t MemoryMbPerTask);
 
-  /// What is to be done now. Call it after events and once a second.
+  /// Returns the commands to execute now. Must be called after events and once
+  /// a second.
   std::vector<Command> decide(Instant Now);
 
-  /// Whether the workers seen so far could ever hold the shape of \p Info.
+  /// Returns whether the gang of \p Info fits onto the workers seen so far when
+  /// they run nothing else.
   bool canEverRun(const JobInfo &Info) const;
-  /// Whether the shapes can all be packed at once on the present workers.
+  /// Returns whether the cells of all guarantees can be packed at once onto the
+  /// current workers.
   bool canGuarantee(const std::vector<WorkspaceGuarantee> &Guarantees) const;
-  /// Whether \p Job waits and lies within its workspace's guarantee.
+  /// Returns whether \p Job is queued and covered by its workspace's guarantee.
   bool waitsWithinGuarantee(const JobId &Job) const;
-  /// Whether the gang of \p Info could be placed on what is free now.
+  /// Returns whether the gang of \p Info could be placed on the capacity that
+  /// is free now.
   bool fitsNow(const JobInfo &Info) const;
 
   SchedulerFigures figures() const;
--- a/include/baobabcove/StateChart.h
+++ b/include/baobabcove/StateChart.h
@@ -1,5 +1,3 @@
-/// \file
-/// State charts that are read from files and interpreted.
 
 #ifndef BAOBABCOVE_STATECHART_H
 #define BAOBABCOVE_STATECHART_H
@@ -13,16 +11,19 @@
 
 namespace baobabcove {
 
-/// The states of one thing, the events it may meet, and where each leads.
+/// A finite state machine that is read from a YAML file: states, events, and
+/// the transitions between states.
 class StateChart {
 public:
-  /// Reads and checks a chart. Fails with StateChartInvalid; the detail names
-  /// the file and every fault: a state that cannot be reached, a state without
-  /// a way out that is not final, an event that no state takes, and a
-  /// transition to or by something that is not declared.
+  /// Reads and validates the state chart in the file \p Path. Fails with
+  /// StateChartInvalid; the detail names the file and every error: an
+  /// unreachable state, a state without transitions that is not final, an event
+  /// without transitions, and a transition with an undeclared event or target
+  /// state.
   static Expected<StateChart> load(const std::string &Path);
 
-  /// The same from a text; \p Source names it in errors.
+  /// Parses and validates the state chart in \p Text. \p Source names it in
+  /// error messages.
   static Expected<StateChart> parse(const std::string &Text,
                                     const std::string &Source);
 
@@ -31,30 +32,32 @@
     return Final.count(State) != 0;
   }
 
-  /// The state that \p Event leads to. Fails with EventNotAllowed.
+  /// Returns the state to which \p Event leads from \p State. Fails with
+  /// EventNotAllowed when there is no such transition.
   Expected<std::string> next(const std::string &State,
                              const std::string &Event) const;
 
 private:
-  std::vector<std::string> faults() const;
+  std::vector<std::string> findErrors() const;
   std::set<std::string> reachable() const;
 
   std::string Name;
   std::string Initial;
   std::set<std::string> Final;
   std::set<std::string> Events;
+  /// Target states by state and event.
   std::map<std::string, std::map<std::string, std::string>> States;
 };
 
-/// The charts of everything that has a life of its own.
+/// The state charts of jobs, tasks, minions and workers.
 struct StateCharts {
   StateChart Job;
   StateChart Task;
   StateChart Minion;
   StateChart Worker;
 
-  /// Reads all charts of a folder; empty takes the folder "charts" beside the
-  /// program's own. Fails with StateChartInvalid.
+  /// Reads all state charts in \p Folder. An empty \p Folder means the folder
+  /// "charts" next to the folder of the program. Fails with StateChartInvalid.
   static Expected<StateCharts> load(const std::string &Folder);
 };
 
--- a/include/baobabcove/StrongType.h
+++ b/include/baobabcove/StrongType.h
@@ -1,5 +1,3 @@
-/// \file
-/// Wrappers that keep identifiers of different kinds apart at compile time.
 
 #ifndef BAOBABCOVE_STRONGTYPE_H
 #define BAOBABCOVE_STRONGTYPE_H
@@ -12,7 +10,8 @@
 
 namespace baobabcove {
 
-/// A string identifier of one kind; \p Tag tells the kinds apart.
+/// A string identifier. Identifiers with different tags are different types, so
+/// that the compiler rejects mixing them up.
 template <class Tag> class StrongString {
 public:
   StrongString() = default;
@@ -38,7 +37,7 @@
   std::string Text;
 };
 
-/// An unsigned number of one kind; \p Tag tells the kinds apart.
+/// An unsigned number. Numbers with different tags are different types.
 template <class Tag> class StrongNumber {
 public:
   StrongNumber() = default;
--- a/src/base/HttpClient.cpp
+++ b/src/base/HttpClient.cpp
@@ -15,54 +15,55 @@
 
 constexpr std::size_t MaxIdleSessions = 16;
 /// Shorter than the time for which servers keep an idle connection.
-constexpr Milliseconds MaxIdle{2000};
+constexpr Milliseconds KeepAliveTimeout{2000};
 
 Poco::Timespan timespan(Milliseconds Duration) {
   return Poco::Timespan(Poco::Timespan::TimeDiff(Duration.count()) * 1000);
 }
 
-/// An idle connection has nothing to read unless its other end closed it.
+/// Returns whether the peer has closed \p Idle. An idle connection is readable
+/// only then.
 bool wasClosed(Poco::Net::HTTPClientSession &Idle) {
   return Idle.socket().poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ);
 }
 
-bool isCutShort(const Poco::Net::HTTPResponse &Response,
-                const std::string &Body) {
-  return Response.hasContentLength() &&
-         Body.size() != std::size_t(Response.getContentLength64());
+bool isTruncated(const Poco::Net::HTTPResponse &Header,
+                 const std::string &Body) {
+  return Header.hasContentLength() &&
+         Body.size() != std::size_t(Header.getContentLength64());
 }
 
 } // namespace
 
 HttpClient::HttpClient(std::string Address) : Address(std::move(Address)) {}
 
-HttpClient::Session HttpClient::take(const HttpCall &Call) {
-  Session Taken;
+HttpClient::Session HttpClient::acquire(const HttpCall &Call) {
+  Session Connection;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    while (!Call.OwnConnection && !Taken && !IdleSessions.empty()) {
+    while (!Call.OwnConnection && !Connection && !IdleSessions.empty()) {
       if (!wasClosed(*IdleSessions.back()))
-        Taken = std::move(IdleSessions.back());
+        Connection = std::move(IdleSessions.back());
       IdleSessions.pop_back();
     }
   }
-  if (!Taken) {
-    Taken = std::make_unique<Poco::Net::HTTPClientSession>(
+  if (!Connection) {
+    Connection = std::make_unique<Poco::Net::HTTPClientSession>(
         Poco::Net::SocketAddress(Address));
-    Taken->setKeepAlive(true);
-    Taken->setKeepAliveTimeout(timespan(MaxIdle));
+    Connection->setKeepAlive(true);
+    Connection->setKeepAliveTimeout(timespan(KeepAliveTimeout));
   }
-  Taken->setTimeout(timespan(Call.Patience));
-  return Taken;
+  Connection->setTimeout(timespan(Call.Patience));
+  return Connection;
 }
 
-void HttpClient::giveBack(Session Idle) {
+void HttpClient::release(Session Idle) {
   const std::lock_guard<std::mutex> Lock(Mutex);
   if (IdleSessions.size() < MaxIdleSessions)
     IdleSessions.push_back(std::move(Idle));
 }
 
-void HttpClient::forgetIdle() {
+void HttpClient::closeIdle() {
   const std::lock_guard<std::mutex> Lock(Mutex);
   IdleSessions.clear();
 }
@@ -70,7 +71,7 @@
 Expected<HttpAnswer> HttpClient::call(const HttpCall &Call) {
   bool Sent = false;
   try {
-    Session Taken = take(Call);
+    Session Connection = acquire(Call);
     Poco::Net::HTTPRequest Request(Call.Method, Call.Path,
                                    Poco::Net::HTTPRequest::HTTP_1_1);
     Request.setKeepAlive(true);
@@ -78,45 +79,45 @@
     Request.setContentLength(static_cast<std::streamsize>(Call.Body.size()));
     for (const auto &[Name, Value] : Call.Headers)
       Request.set(Name, Value);
-    std::ostream &Out = Taken->sendRequest(Request);
+    std::ostream &Out = Connection->sendRequest(Request);
     Sent = true;
     Out << Call.Body << std::flush;
-    Poco::Net::HTTPResponse Response;
-    std::istream &In = Taken->receiveResponse(Response);
-    HttpAnswer Answer;
-    Answer.Status = Response.getStatus();
-    Answer.ContentType = Response.getContentType();
-    Poco::StreamCopier::copyToString(In, Answer.Body);
-    if (isCutShort(Response, Answer.Body))
+    Poco::Net::HTTPResponse Header;
+    std::istream &In = Connection->receiveResponse(Header);
+    HttpAnswer Response;
+    Response.Status = Header.getStatus();
+    Response.ContentType = Header.getContentType();
+    Poco::StreamCopier::copyToString(In, Response.Body);
+    if (isTruncated(Header, Response.Body))
       return failure(ResultCode::OutcomeUnknown,
-                     "The answer of " + Address + " broke off.");
-    if (Response.getKeepAlive())
-      giveBack(std::move(Taken));
-    return Answer;
-  } catch (const Poco::Exception &Fault) {
-    forgetIdle();
+                     "The response of " + Address + " is truncated.");
+    if (Header.getKeepAlive())
+      release(std::move(Connection));
+    return Response;
+  } catch (const Poco::Exception &Exception) {
+    closeIdle();
     return failure(
         Sent ? ResultCode::OutcomeUnknown : ResultCode::PeerUnreachable,
-        "HTTP call to " + Address + " failed: " + Fault.displayText());
+        "HTTP call to " + Address + " failed: " + Exception.displayText());
   }
 }
 
 Expected<void> HttpClient::callJson(const std::string &Path,
                                     const google::protobuf::Message &Request,
                                     google::protobuf::Message &Reply,
-                                    Milliseconds Patience) {
+                                    Milliseconds Timeout) {
   HttpCall Call;
   Call.Path = Path;
   Call.Body = toJson(Request);
-  Call.Patience = Patience;
-  auto Answer = call(Call);
-  if (!Answer)
-    return tl::unexpected<Error>(Answer.error());
-  if (Answer->Status != Poco::Net::HTTPResponse::HTTP_OK)
+  Call.Patience = Timeout;
+  auto Response = call(Call);
+  if (!Response)
+    return tl::unexpected<Error>(Response.error());
+  if (Response->Status != Poco::Net::HTTPResponse::HTTP_OK)
     return failure(ResultCode::OutcomeUnknown,
-                   Address + " answered " + std::to_string(Answer->Status) +
-                       " to " + Path + ".");
-  return fromJson(Answer->Body, Reply);
+                   Address + " answered status " +
+                       std::to_string(Response->Status) + " to " + Path + ".");
+  return fromJson(Response->Body, Reply);
 }
 
 std::string toJson(const google::protobuf::Message &Message) {
--- a/src/base/HttpClient.h
+++ b/src/base/HttpClient.h
@@ -1,5 +1,3 @@
-/// \file
-/// HTTP calls to the platform, workers and minions, over POCO's client.
 
 #ifndef BAOBABCOVE_BASE_HTTPCLIENT_H
 #define BAOBABCOVE_BASE_HTTPCLIENT_H
@@ -18,65 +16,68 @@
 
 namespace baobabcove {
 
-/// An answer as it came over the wire.
+/// The response to an HTTP call.
 struct HttpAnswer {
   int Status = 0;
   std::string Body;
   std::string ContentType;
 };
 
-/// One HTTP call.
+/// The request of one HTTP call.
 struct HttpCall {
   std::string Method = "POST";
   std::string Path;
   std::string Body;
   std::string ContentType = "application/json";
   std::map<std::string, std::string> Headers;
-  /// Bound on connecting and on each wait for bytes.
+  /// Timeout of connecting, and of each read and write.
   Milliseconds Patience{2000};
-  /// Opens a connection of its own, so that a call which must not be repeated
-  /// never meets one that the other end has just closed.
+  /// Opens a new connection. Set for a call that must not be repeated, since
+  /// the peer may just have closed an idle connection.
   bool OwnConnection = false;
 };
 
-/// Keeps idle connections to one address. Thread-safe.
+/// HTTP client of one address, which keeps idle connections for later calls.
+/// Thread-safe.
 class HttpClient {
 public:
   /// \p Address is "ip:port".
   explicit HttpClient(std::string Address);
 
   /// Makes the call. Fails with PeerUnreachable when no connection could be
-  /// made, in which case nothing was sent, and with OutcomeUnknown when the
-  /// connection broke or fell silent after bytes had gone out.
+  /// made, so that nothing was sent, and with OutcomeUnknown when the
+  /// connection broke or timed out after the request was sent in part or whole.
   Expected<HttpAnswer> call(const HttpCall &Call);
 
-  /// Makes the call with \p Request as a JSON body and reads a JSON answer
-  /// into \p Reply. Statuses other than 200 fail with OutcomeUnknown.
+  /// Sends \p Request as JSON in a POST to \p Path and parses the JSON response
+  /// into \p Reply. Fails as call does, with OutcomeUnknown when the status is
+  /// not 200, and with MalformedRequest when the response cannot be parsed.
   Expected<void> callJson(const std::string &Path,
                           const google::protobuf::Message &Request,
                           google::protobuf::Message &Reply,
-                          Milliseconds Patience);
+                          Milliseconds Timeout);
 
   const std::string &address() const { return Address; }
 
 private:
   using Session = std::unique_ptr<Poco::Net::HTTPClientSession>;
-  Session take(const HttpCall &Call);
-  void giveBack(Session Idle);
-  /// Closes the idle connections: when one has fallen silent, those opened
-  /// beside it usually have too.
-  void forgetIdle();
+  /// Returns an idle connection, or a new one.
+  Session acquire(const HttpCall &Call);
+  void release(Session Idle);
+  /// Closes all idle connections. Called after a failure on one connection,
+  /// which usually affects the others as well.
+  void closeIdle();
 
   const std::string Address;
   std::mutex Mutex;
   std::vector<Session> IdleSessions;
 };
 
-/// JSON of \p Message, with the field names of the schema.
+/// Serializes \p Message as JSON, with the field names of the schema.
 std::string toJson(const google::protobuf::Message &Message);
 
-/// Reads JSON into \p Message. Fails with MalformedRequest for broken JSON,
-/// unknown fields and numbers that do not fit.
+/// Parses JSON into \p Message. Fails with MalformedRequest on invalid JSON,
+/// unknown fields and numbers that are out of range.
 Expected<void> fromJson(const std::string &Json,
                         google::protobuf::Message &Message);
 
--- a/src/base/Log.cpp
+++ b/src/base/Log.cpp
@@ -1,6 +1,6 @@
 #include "base/Log.h"
 
-#include "base/LogBudget.h"
+#include "base/LogRateLimiter.h"
 
 #include <sstream>
 
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// Writes each line as one JSON object.
+/// Formats each line as one JSON object.
 class JsonLineLayout : public log4cplus::Layout {
 public:
   JsonLineLayout(std::string Program, std::string Node)
@@ -45,31 +45,31 @@
   std::string Node;
 };
 
-/// Writes lines to standard output and never waits for its reader: a line
-/// beyond the budget, or one that the pipe has no room for, is left out and
-/// counted, and the count is told in the next line that goes out.
-class BoundedOutput : public log4cplus::Appender {
+/// Writes lines to standard output without blocking on a slow reader. A line
+/// that exceeds the rate limit, or finds the pipe full, is dropped and counted.
+/// The next line that is written is followed by the count.
+class DroppingStdoutAppender : public log4cplus::Appender {
 public:
-  ~BoundedOutput() override { destructorImpl(); }
+  ~DroppingStdoutAppender() override { destructorImpl(); }
   void close() override { closed = true; }
 
 protected:
-  // Called under the appender's lock.
+  // Called with the appender's lock held.
   void append(const log4cplus::spi::InternalLoggingEvent &Event) override {
     const auto Now = monotonicNow();
     std::ostringstream Line;
     layout->formatAndAppend(Line, Event);
-    if (!Budget.spend(Now) || !write(Line.str())) {
-      ++LeftOut;
+    if (!Limiter.tryAcquire(Now) || !write(Line.str())) {
+      ++Dropped;
       return;
     }
-    if (LeftOut == 0)
+    if (Dropped == 0)
       return;
-    const std::string Told =
+    const std::string Notice =
         "{\"level\":\"WARN\",\"message\":\"log lines left out count=" +
-        std::to_string(LeftOut) + "\",\"part\":\"log\"}\n";
-    if (write(Told))
-      LeftOut = 0;
+        std::to_string(Dropped) + "\",\"part\":\"log\"}\n";
+    if (write(Notice))
+      Dropped = 0;
   }
 
 private:
@@ -77,14 +77,15 @@
     pollfd Output{STDOUT_FILENO, POLLOUT, 0};
     if (poll(&Output, 1, 0) != 1 || !(Output.revents & POLLOUT))
       return false;
-    // A pipe that can be written to has room for a page, which no line fills.
+    // A pipe that is ready for writing has room for a page of 4096 bytes. Lines
+    // are shorter than that; a longer one would be truncated.
     return ::write(STDOUT_FILENO, Line.data(),
-                   std::min(Line.size(), LongestLine)) >= 0;
+                   std::min(Line.size(), MaxLineBytes)) >= 0;
   }
 
-  static constexpr std::size_t LongestLine = 4096;
-  LogBudget Budget;
-  std::uint64_t LeftOut = 0;
+  static constexpr std::size_t MaxLineBytes = 4096;
+  LogRateLimiter Limiter;
+  std::uint64_t Dropped = 0;
 };
 
 std::unique_ptr<log4cplus::Layout> makeLayout(const std::string &Program,
@@ -103,7 +104,7 @@
   log4cplus::initialize();
   log4cplus::SharedAppenderPtr Console;
   if (Target == LogTarget::StandardOutput)
-    Console = new BoundedOutput();
+    Console = new DroppingStdoutAppender();
   else
     Console = new log4cplus::ConsoleAppender(true, true);
   Console->setLayout(makeLayout(Program, Node, Format));
--- a/src/base/Log.h
+++ b/src/base/Log.h
@@ -1,5 +1,3 @@
-/// \file
-/// Logging: short sentences, each with the prefix of the part that wrote it.
 
 #ifndef BAOBABCOVE_BASE_LOG_H
 #define BAOBABCOVE_BASE_LOG_H
@@ -11,19 +9,26 @@
 
 namespace baobabcove {
 
-/// How log lines look.
+/// Format of log lines.
 enum class LogFormat { Text, Json };
 
-/// Where log lines go.
-enum class LogTarget { StandardError, StandardOutput };
-
-/// Sends the logs of this process to \p Target. \p Program and \p Node stand
-/// in every line.
+/// Destination of log lines.
+enum class LogTarget {
+  /// Every line is written; writing blocks while the reader is slow.
+  StandardError,
+  /// Lines are dropped and counted when the rate limit is exceeded or the
+  /// reader is slow.
+  StandardOutput
+};
+
+/// Configures logging for this process, replacing an earlier configuration.
+/// Lines below level INFO are discarded. Each JSON line carries \p Program and
+/// \p Node, each text line \p Node.
 void startLogging(const std::string &Program, const std::string &Node,
                   LogFormat Format,
                   LogTarget Target = LogTarget::StandardError);
 
-/// The logger of one part of the system, such as "router".
+/// Returns the logger of one component, such as "router".
 log4cplus::Logger logOf(const std::string &Part);
 
 } // namespace baobabcove
--- a/src/base/LogFields.h
+++ b/src/base/LogFields.h
@@ -1,5 +1,3 @@
-/// \file
-/// Log messages with named values: "what happened key=value key=value".
 
 #ifndef BAOBABCOVE_BASE_LOGFIELDS_H
 #define BAOBABCOVE_BASE_LOGFIELDS_H
@@ -10,17 +8,19 @@
 
 namespace baobabcove {
 
-/// Builds a log message. Values with spaces are quoted.
+/// Builds a log message of the form "event key=value key=value".
 class LogFields {
 public:
-  explicit LogFields(const std::string &What) { Text << What; }
+  explicit LogFields(const std::string &Event) { Text << Event; }
 
+  /// Appends a field. Empty values and values with spaces are quoted.
   template <class T> LogFields &add(const char *Name, const T &Value) {
     std::ostringstream Out;
     Out << Value;
-    const std::string Shown = Out.str();
-    const bool Quote = Shown.empty() || Shown.find(' ') != std::string::npos;
-    Text << ' ' << Name << '=' << (Quote ? "\"" : "") << Shown
+    const std::string Printed = Out.str();
+    const bool Quote =
+        Printed.empty() || Printed.find(' ') != std::string::npos;
+    Text << ' ' << Name << '=' << (Quote ? "\"" : "") << Printed
          << (Quote ? "\"" : "");
     return *this;
   }
--- a/src/base/Metrics.cpp
+++ b/src/base/Metrics.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-/// Upper bounds of the histograms, in the unit of the distribution.
-constexpr std::array<int, 12> Bounds = {1,   2,   5,   10,   20,   50,
-                                        100, 200, 500, 1000, 2000, 5000};
+/// Upper bounds of the histogram buckets, in the unit of the distribution.
+constexpr std::array<int, 12> BucketBounds = {1,   2,   5,   10,   20,   50,
+                                              100, 200, 500, 1000, 2000, 5000};
 const std::string Prefix = "baobabcove_";
 
 } // namespace
@@ -28,9 +28,9 @@
   acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::mean>>
       Moments;
   Quantile Median{acc::quantile_probability = 0.5};
-  Quantile Tail{acc::quantile_probability = 0.99};
+  Quantile P99{acc::quantile_probability = 0.99};
   double Sum = 0;
-  std::array<std::uint64_t, Bounds.size()> UpTo{};
+  std::array<std::uint64_t, BucketBounds.size()> BucketCounts{};
 };
 
 Metrics::Metrics() = default;
@@ -43,15 +43,15 @@
 
 void Metrics::sample(const std::string &Name, double Value) {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  auto &Slot = Distributions[Name];
-  if (!Slot)
-    Slot = std::make_unique<Distribution>();
-  Slot->Moments(Value);
-  Slot->Median(Value);
-  Slot->Tail(Value);
-  Slot->Sum += Value;
-  for (std::size_t B = 0; B < Bounds.size(); ++B)
-    Slot->UpTo[B] += Value <= Bounds[B] ? 1 : 0;
+  auto &Samples = Distributions[Name];
+  if (!Samples)
+    Samples = std::make_unique<Distribution>();
+  Samples->Moments(Value);
+  Samples->Median(Value);
+  Samples->P99(Value);
+  Samples->Sum += Value;
+  for (std::size_t B = 0; B < BucketBounds.size(); ++B)
+    Samples->BucketCounts[B] += Value <= BucketBounds[B] ? 1 : 0;
 }
 
 std::string Metrics::text() const {
@@ -60,14 +60,14 @@
   for (const auto &[Name, Value] : Counters)
     Out << Prefix << Name << ' ' << Value << '\n';
   for (const auto &[Name, Samples] : Distributions) {
-    const std::string Full = Prefix + Name;
-    for (std::size_t B = 0; B < Bounds.size(); ++B)
-      Out << Full << "_bucket{le=\"" << Bounds[B] << "\"} " << Samples->UpTo[B]
-          << '\n';
-    const auto All = acc::count(Samples->Moments);
-    Out << Full << "_bucket{le=\"+Inf\"} " << All << '\n'
-        << Full << "_count " << All << '\n'
-        << Full << "_sum " << Samples->Sum << '\n';
+    const std::string FullName = Prefix + Name;
+    for (std::size_t B = 0; B < BucketBounds.size(); ++B)
+      Out << FullName << "_bucket{le=\"" << BucketBounds[B] << "\"} "
+          << Samples->BucketCounts[B] << '\n';
+    const auto Count = acc::count(Samples->Moments);
+    Out << FullName << "_bucket{le=\"+Inf\"} " << Count << '\n'
+        << FullName << "_count " << Count << '\n'
+        << FullName << "_sum " << Samples->Sum << '\n';
   }
   return Out.str();
 }
@@ -82,7 +82,7 @@
     Row->set("count", acc::count(Samples->Moments));
     Row->set("mean", acc::mean(Samples->Moments));
     Row->set("p50", acc::p_square_quantile(Samples->Median));
-    Row->set("p99", acc::p_square_quantile(Samples->Tail));
+    Row->set("p99", acc::p_square_quantile(Samples->P99));
     Out->set(Name, Row);
   }
   return Out;
--- a/src/base/Metrics.h
+++ b/src/base/Metrics.h
@@ -1,5 +1,3 @@
-/// \file
-/// Named figures of a process, kept by Boost.Accumulators.
 
 #ifndef BAOBABCOVE_BASE_METRICS_H
 #define BAOBABCOVE_BASE_METRICS_H
@@ -14,8 +12,7 @@
 
 namespace baobabcove {
 
-/// Counters and distributions of one process. All members may be called from
-/// any thread.
+/// Named counters and distributions of one process. Thread-safe.
 class Metrics {
 public:
   Metrics();
@@ -24,14 +21,15 @@
   /// Adds \p Amount to the counter \p Name.
   void count(const std::string &Name, std::uint64_t Amount = 1);
 
-  /// Adds a sample, in the unit that the name ends with.
+  /// Adds a sample to the distribution \p Name. \p Value is in the unit that
+  /// the name ends with, such as "_ms".
   void sample(const std::string &Name, double Value);
 
-  /// Every counter, and count, mean, p50 and p99 of every distribution.
+  /// Returns every counter, and count, mean, p50 and p99 of every distribution.
   Poco::JSON::Object::Ptr dump() const;
 
-  /// The same as lines "NAME VALUE", with a histogram of each distribution:
-  /// the samples up to each bound, and all of them under "+Inf".
+  /// Returns the metrics in the Prometheus text format: lines "NAME VALUE",
+  /// with a cumulative histogram, the count and the sum of each distribution.
   std::string text() const;
 
 private:
--- a/src/base/Parallel.h
+++ b/src/base/Parallel.h
@@ -1,5 +1,3 @@
-/// \file
-/// Calls to many peers at once.
 
 #ifndef BAOBABCOVE_BASE_PARALLEL_H
 #define BAOBABCOVE_BASE_PARALLEL_H
@@ -11,8 +9,8 @@
 
 namespace baobabcove {
 
-/// Calls \p Work(0) to \p Work(Count - 1) on at most \p Width threads, the
-/// caller's among them, and returns when all have ended.
+/// Calls \p Work(0) to \p Work(Count - 1) on at most \p Width threads,
+/// including the calling thread. Returns when all calls have returned.
 template <class Function>
 void inParallel(std::size_t Count, std::size_t Width, const Function &Work) {
   std::atomic<std::size_t> Next{0};
@@ -20,12 +18,12 @@
     for (std::size_t I = Next++; I < Count; I = Next++)
       Work(I);
   };
-  std::vector<std::thread> Helpers;
+  std::vector<std::thread> Threads;
   for (std::size_t I = 1; I < std::min(Count, Width); ++I)
-    Helpers.emplace_back(Run);
+    Threads.emplace_back(Run);
   Run();
-  for (std::thread &Each : Helpers)
-    Each.join();
+  for (std::thread &Thread : Threads)
+    Thread.join();
 }
 
 } // namespace baobabcove
--- a/src/base/ProcessStats.cpp
+++ b/src/base/ProcessStats.cpp
@@ -13,7 +13,7 @@
   return std::int64_t(Time.tv_sec) * 1000 + Time.tv_usec / 1000;
 }
 
-/// The number behind a key of the process's status file.
+/// Returns the number after \p Key in /proc/self/status; 0 when it is absent.
 std::int64_t statusValue(const std::string &Key) {
   std::ifstream In("/proc/self/status");
   std::string Word;
--- a/src/base/ProcessStats.h
+++ b/src/base/ProcessStats.h
@@ -1,5 +1,3 @@
-/// \file
-/// What this process uses of the machine, for its state dump.
 
 #ifndef BAOBABCOVE_BASE_PROCESSSTATS_H
 #define BAOBABCOVE_BASE_PROCESSSTATS_H
@@ -8,7 +6,8 @@
 
 namespace baobabcove {
 
-/// Processor time in milliseconds, resident memory in KiB and threads.
+/// Returns the resource usage of this process for its state dump: CPU time in
+/// milliseconds, resident memory in KiB and the number of threads.
 Poco::JSON::Object::Ptr processStats();
 
 } // namespace baobabcove
--- a/src/base/Program.cpp
+++ b/src/base/Program.cpp
@@ -4,32 +4,32 @@
 
 namespace {
 
-constexpr int ExitSettings = 2;
+constexpr int ExitInvalidSettings = 2;
 
 } // namespace
 
 bool prepareProgram(const ProgramFlags &Flags,
                     Expected<void> (*Check)(const Settings &),
-                    ProgramStart &Start, int &ExitCode) {
-  auto Read = readSettings(Flags.SettingsPath, Flags.Overrides);
-  Expected<void> Done;
-  if (!Read)
-    Done = tl::unexpected<Error>(Read.error());
+                    ProgramConfig &Config, int &ExitCode) {
+  auto Parsed = readSettings(Flags.SettingsPath, Flags.Overrides);
+  Expected<void> Status;
+  if (!Parsed)
+    Status = tl::unexpected<Error>(Parsed.error());
   else
-    Done = Check(*Read);
-  if (Done) {
-    auto Charts = StateCharts::load(Read->ChartFolder);
+    Status = Check(*Parsed);
+  if (Status) {
+    auto Charts = StateCharts::load(Parsed->ChartFolder);
     if (Charts)
-      Start = {*Read, *Charts};
+      Config = {*Parsed, *Charts};
     else
-      Done = tl::unexpected<Error>(Charts.error());
+      Status = tl::unexpected<Error>(Charts.error());
   }
-  if (!Done) {
-    const ResultInfo &Info = resultInfo(Done.error().Code);
+  if (!Status) {
+    const ResultInfo &Info = resultInfo(Status.error().Code);
     std::cerr << static_cast<std::uint32_t>(Info.Code) << ' ' << Info.Name
-              << ": " << Done.error().Detail << '\n'
+              << ": " << Status.error().Detail << '\n'
               << Info.NextStep << '\n';
-    ExitCode = ExitSettings;
+    ExitCode = ExitInvalidSettings;
     return false;
   }
   if (Flags.CheckOnly) {
--- a/src/base/Program.h
+++ b/src/base/Program.h
@@ -1,5 +1,3 @@
-/// \file
-/// What the daemons' main functions share: flags, settings, start and stop.
 
 #ifndef BAOBABCOVE_BASE_PROGRAM_H
 #define BAOBABCOVE_BASE_PROGRAM_H
@@ -17,41 +15,46 @@
 
 namespace baobabcove {
 
-/// Flags that every daemon takes.
+/// Command-line flags that every daemon accepts.
 struct ProgramFlags {
   std::string SettingsPath;
+  /// Settings of the form "key=value" that take precedence over the file.
   std::vector<std::string> Overrides;
+  /// Whether to exit after checking the settings and state charts.
   bool CheckOnly = false;
 };
 
-/// What a daemon begins with.
-struct ProgramStart {
-  Settings Of;
+/// Validated settings and state charts of a daemon.
+struct ProgramConfig {
+  Settings Values;
   StateCharts Charts;
 };
 
-/// Reads settings and charts. Prints what is wrong to standard error and
-/// returns false; also returns false, with \p ExitCode zero, after a check
-/// that was all that was asked for.
+/// Reads and checks settings and state charts into \p Config. Returns false
+/// when the process has to exit with \p ExitCode: after printing an error to
+/// standard error, or after a successful check when only a check was requested.
 bool prepareProgram(const ProgramFlags &Flags,
                     Expected<void> (*Check)(const Settings &),
-                    ProgramStart &Start, int &ExitCode);
+                    ProgramConfig &Config, int &ExitCode);
 
-/// Runs a daemon until it is asked to stop, then shuts it down gracefully,
-/// waiting at most \p Patience for what runs. Returns the exit code.
+/// Runs a daemon until SIGTERM or SIGINT and then shuts it down gracefully,
+/// waiting at most \p StopTimeout for work in flight. Once it has started,
+/// prints its addresses in a line that begins with "ready". Returns the exit
+/// code: 1 when it cannot start, 2 when the settings or state charts are
+/// invalid.
 template <class Process>
 int runDaemon(const std::string &Name, const ProgramFlags &Flags,
               Expected<void> (*Check)(const Settings &),
-              Milliseconds Patience) {
-  ProgramStart Start;
+              Milliseconds StopTimeout) {
+  ProgramConfig Config;
   int ExitCode = 0;
-  if (!prepareProgram(Flags, Check, Start, ExitCode))
+  if (!prepareProgram(Flags, Check, Config, ExitCode))
     return ExitCode;
   blockSignals();
-  startLogging(Name, Start.Of.Node,
-               Start.Of.LogFormat == "json" ? LogFormat::Json
-                                            : LogFormat::Text);
-  Process Daemon(Start.Of, Start.Charts);
+  startLogging(Name, Config.Values.Node,
+               Config.Values.LogFormat == "json" ? LogFormat::Json
+                                                 : LogFormat::Text);
+  Process Daemon(Config.Values, Config.Charts);
   if (auto Started = Daemon.start(); !Started) {
     std::cerr << Started.error().Detail << '\n';
     return 1;
@@ -59,7 +62,7 @@
   std::cout << "ready http=" << Daemon.httpAddress()
             << " rpc=" << Daemon.rpcAddress() << std::endl;
   waitForStop([&] { LOG4CPLUS_INFO(logOf("state"), Daemon.dump()); });
-  Daemon.stop(Patience);
+  Daemon.stop(StopTimeout);
   return 0;
 }
 
--- a/src/base/Ring.h
+++ b/src/base/Ring.h
@@ -1,5 +1,3 @@
-/// \file
-/// Bounded queue between the threads of a process.
 
 #ifndef BAOBABCOVE_BASE_RING_H
 #define BAOBABCOVE_BASE_RING_H
@@ -17,55 +15,58 @@
 
 namespace baobabcove {
 
-/// A ring of fixed capacity for any number of producers and consumers.
-/// A full ring refuses: tryPush returns false and counts the refusal.
+/// Queue of fixed capacity for any number of producer and consumer threads.
 template <class T> class Ring {
 public:
-  explicit Ring(std::size_t Capacity) : Slots(Capacity), Limit(Capacity) {}
+  explicit Ring(std::size_t Capacity) : Queue(Capacity), Limit(Capacity) {}
 
   Ring(const Ring &) = delete;
   Ring &operator=(const Ring &) = delete;
 
   ~Ring() {
-    Slots.consume_all([](T *Item) { delete Item; });
+    Queue.consume_all([](T *Item) { delete Item; });
   }
 
-  /// Puts \p Item at the end. Returns false when the ring is full.
+  /// Appends \p Item. When the queue is full, returns false and counts the item
+  /// as refused.
   bool tryPush(T Item) {
     auto Owned = std::make_unique<T>(std::move(Item));
-    if (!Slots.bounded_push(Owned.get())) {
+    if (!Queue.bounded_push(Owned.get())) {
       ++Refused;
       return false;
     }
     (void)Owned.release();
-    ++Fill;
+    ++Size;
     const std::lock_guard<std::mutex> Lock(WaitMutex);
     Ready.notify_one();
     return true;
   }
 
-  /// Takes the first item, waiting at most \p Patience for one.
-  std::optional<T> pop(Milliseconds Patience) {
+  /// Removes the first item, waiting at most \p Timeout for one. Returns
+  /// nothing after that.
+  std::optional<T> pop(Milliseconds Timeout) {
     T *Item = nullptr;
-    if (!Slots.pop(Item)) {
+    if (!Queue.pop(Item)) {
       std::unique_lock<std::mutex> Lock(WaitMutex);
-      Ready.wait_for(Lock, Patience, [&] { return Slots.pop(Item); });
+      Ready.wait_for(Lock, Timeout, [&] { return Queue.pop(Item); });
     }
     if (!Item)
       return std::nullopt;
-    --Fill;
+    --Size;
     const std::unique_ptr<T> Owned(Item);
     return std::move(*Owned);
   }
 
   std::size_t capacity() const { return Limit; }
-  std::size_t fill() const { return Fill; }
+  /// Returns the number of items in the queue.
+  std::size_t fill() const { return Size; }
+  /// Returns how many items were refused because the queue was full.
   std::size_t refused() const { return Refused; }
 
 private:
-  boost::lockfree::queue<T *> Slots;
+  boost::lockfree::queue<T *> Queue;
   const std::size_t Limit;
-  std::atomic<std::size_t> Fill{0};
+  std::atomic<std::size_t> Size{0};
   std::atomic<std::size_t> Refused{0};
   std::mutex WaitMutex;
   std::condition_variable Ready;
--- a/src/base/Signals.h
+++ b/src/base/Signals.h
@@ -1,5 +1,3 @@
-/// \file
-/// Signals of a daemon: stop, reload, state dump.
 
 #ifndef BAOBABCOVE_BASE_SIGNALS_H
 #define BAOBABCOVE_BASE_SIGNALS_H
@@ -8,12 +6,13 @@
 
 namespace baobabcove {
 
-/// Blocks the daemon's signals in this thread and all started after it. Call
-/// it before any thread is started.
+/// Blocks the signals that waitForStop handles, in this thread and all threads
+/// that it starts later, and ignores SIGPIPE. Must be called before any thread
+/// is started.
 void blockSignals();
 
-/// Waits for SIGTERM or SIGINT, then returns. Calls \p OnDump for each
-/// SIGUSR1 and \p OnReload for each SIGHUP in the meantime.
+/// Blocks until SIGTERM or SIGINT arrives. Calls \p OnDump for each SIGUSR1 and
+/// \p OnReload for each SIGHUP in the meantime.
 void waitForStop(
     const std::function<void()> &OnDump,
     const std::function<void()> &OnReload = [] {});
--- a/src/base/StateChart.cpp
+++ b/src/base/StateChart.cpp
@@ -16,12 +16,12 @@
 
 std::set<std::string> readNames(const YAML::Node &List) {
   std::set<std::string> Names;
-  for (const auto &Each : List)
-    Names.insert(Each.as<std::string>());
+  for (const auto &Name : List)
+    Names.insert(Name.as<std::string>());
   return Names;
 }
 
-/// The folder "charts" beside the folder of the running program.
+/// Returns the folder "charts" next to the folder of the running program.
 std::string defaultFolder() {
   char Buffer[MaxPathBytes];
   const ssize_t Length = ::readlink("/proc/self/exe", Buffer, sizeof(Buffer));
@@ -54,84 +54,87 @@
     Chart.Final = readNames(Root["final"]);
     Chart.Events = readNames(Root["events"]);
     for (const auto &State : Root["states"]) {
-      auto &Ways = Chart.States[State.first.as<std::string>()];
-      for (const auto &Way : State.second)
-        Ways[Way.first.as<std::string>()] = Way.second.as<std::string>();
+      auto &Transitions = Chart.States[State.first.as<std::string>()];
+      for (const auto &Transition : State.second)
+        Transitions[Transition.first.as<std::string>()] =
+            Transition.second.as<std::string>();
     }
-  } catch (const YAML::Exception &Broken) {
+  } catch (const YAML::Exception &Exception) {
     return failure(ResultCode::StateChartInvalid,
-                   Source + ":" + std::to_string(Broken.mark.line + 1) + ": " +
-                       Broken.msg);
+                   Source + ":" + std::to_string(Exception.mark.line + 1) +
+                       ": " + Exception.msg);
   }
-  const std::vector<std::string> Found = Chart.faults();
-  if (Found.empty())
+  const std::vector<std::string> Errors = Chart.findErrors();
+  if (Errors.empty())
     return Chart;
   std::string Detail = Source + ":";
-  for (const std::string &Fault : Found) {
+  for (const std::string &Problem : Errors) {
     Detail += " ";
-    Detail += Fault;
+    Detail += Problem;
     Detail += ".";
   }
   return failure(ResultCode::StateChartInvalid, Detail);
 }
 
 std::set<std::string> StateChart::reachable() const {
-  std::set<std::string> Seen = {Initial};
-  std::vector<std::string> Open = {Initial};
-  while (!Open.empty()) {
-    const auto State = States.find(Open.back());
-    Open.pop_back();
+  std::set<std::string> Visited = {Initial};
+  std::vector<std::string> Pending = {Initial};
+  while (!Pending.empty()) {
+    const auto State = States.find(Pending.back());
+    Pending.pop_back();
     if (State == States.end())
       continue;
     for (const auto &[Event, Target] : State->second)
-      if (Seen.insert(Target).second)
-        Open.push_back(Target);
+      if (Visited.insert(Target).second)
+        Pending.push_back(Target);
   }
-  return Seen;
+  return Visited;
 }
 
-std::vector<std::string> StateChart::faults() const {
-  std::vector<std::string> Found;
+std::vector<std::string> StateChart::findErrors() const {
+  std::vector<std::string> Errors;
   std::set<std::string> Used;
-  for (const auto &[State, Ways] : States) {
-    if (Ways.empty())
-      Found.push_back("State " + State + " has no way out and is not final");
-    for (const auto &[Event, Target] : Ways) {
+  for (const auto &[State, Transitions] : States) {
+    if (Transitions.empty())
+      Errors.push_back("State " + State +
+                       " has no transitions and is not final");
+    for (const auto &[Event, Target] : Transitions) {
       Used.insert(Event);
       if (Events.count(Event) == 0)
-        Found.push_back(
+        Errors.push_back(
             std::string("Event ").append(Event).append(" is not declared"));
       if (States.count(Target) == 0 && Final.count(Target) == 0)
-        Found.push_back("State " + Target + " is not declared");
+        Errors.push_back("State " + Target + " is not declared");
     }
   }
   for (const std::string &Event : Events)
     if (Used.count(Event) == 0)
-      Found.push_back("No state takes the event " + Event);
-  const std::set<std::string> Seen = reachable();
-  for (const auto &[State, Ways] : States)
-    if (Seen.count(State) == 0)
-      Found.push_back("State " + State + " cannot be reached");
+      Errors.push_back("No state takes the event " + Event);
+  const std::set<std::string> Visited = reachable();
+  for (const auto &[State, Transitions] : States)
+    if (Visited.count(State) == 0)
+      Errors.push_back("State " + State + " cannot be reached");
   for (const std::string &State : Final)
-    if (Seen.count(State) == 0)
-      Found.push_back("State " + State + " cannot be reached");
-  return Found;
+    if (Visited.count(State) == 0)
+      Errors.push_back("State " + State + " cannot be reached");
+  return Errors;
 }
 
 Expected<std::string> StateChart::next(const std::string &State,
                                        const std::string &Event) const {
-  const auto Ways = States.find(State);
-  if (Ways != States.end()) {
-    const auto Way = Ways->second.find(Event);
-    if (Way != Ways->second.end())
-      return Way->second;
+  const auto Transitions = States.find(State);
+  if (Transitions != States.end()) {
+    const auto Transition = Transitions->second.find(Event);
+    if (Transition != Transitions->second.end())
+      return Transition->second;
   }
   return failure(ResultCode::EventNotAllowed,
-                 "State " + State + " does not take the event " + Event + ".");
+                 "State " + State + " does not allow the event " + Event + ".");
 }
 
-Expected<StateCharts> StateCharts::load(const std::string &Wanted) {
-  const std::string Folder = Wanted.empty() ? defaultFolder() : Wanted + "/";
+Expected<StateCharts> StateCharts::load(const std::string &ChartFolder) {
+  const std::string Folder =
+      ChartFolder.empty() ? defaultFolder() : ChartFolder + "/";
   StateCharts Charts;
   const std::pair<const char *, StateChart *> Files[] = {
       {"job.yaml", &Charts.Job},
--- a/src/base/StateDump.h
+++ b/src/base/StateDump.h
@@ -1,5 +1,3 @@
-/// \file
-/// The dump of a process's state, over HTTP and by signal to the log.
 
 #ifndef BAOBABCOVE_BASE_STATEDUMP_H
 #define BAOBABCOVE_BASE_STATEDUMP_H
@@ -10,10 +8,10 @@
 
 namespace baobabcove {
 
-/// The JSON text of a dump.
+/// Serializes a state dump, which is served over HTTP and logged on SIGUSR1.
 std::string dumpText(const Poco::JSON::Object::Ptr &Dump);
 
-/// A JSON object that keeps the order in which its keys were set.
+/// Returns an empty JSON object that keeps its keys in insertion order.
 Poco::JSON::Object::Ptr makeDump();
 
 } // namespace baobabcove
--- a/src/base/StateMachine.h
+++ b/src/base/StateMachine.h
@@ -1,5 +1,3 @@
-/// \file
-/// A present state that moves by a chart.
 
 #ifndef BAOBABCOVE_BASE_STATEMACHINE_H
 #define BAOBABCOVE_BASE_STATEMACHINE_H
@@ -11,22 +9,24 @@
 
 namespace baobabcove {
 
-/// Counter of events that a chart did not allow.
+/// Name of the counter of events that a state chart did not allow.
 inline constexpr const char *EventsNotAllowed = "events_not_allowed";
 
-/// One thing's state. Thread-safe.
+/// The current state of one object, which changes by the transitions of a state
+/// chart. Thread-safe.
 class StateMachine {
 public:
-  StateMachine(const StateChart &Chart, Metrics &Figures)
-      : Chart(Chart), Figures(Figures), State(Chart.initial()) {}
+  /// \p Chart and \p Stats must outlive the state machine.
+  StateMachine(const StateChart &Chart, Metrics &Stats)
+      : Chart(Chart), Stats(Stats), State(Chart.initial()) {}
 
-  /// Moves by \p Event; returns whether the state has changed. An event that
-  /// the chart does not allow is counted and changes nothing.
+  /// Applies \p Event and returns whether the state has changed. An event that
+  /// the chart does not allow is counted and has no other effect.
   bool take(const std::string &Event) {
     const std::lock_guard<std::mutex> Lock(Mutex);
     const Expected<std::string> Next = Chart.next(State, Event);
     if (!Next)
-      Figures.count(EventsNotAllowed);
+      Stats.count(EventsNotAllowed);
     if (!Next || *Next == State)
       return false;
     State = *Next;
@@ -38,11 +38,11 @@
     return State;
   }
 
-  bool is(const std::string &Wanted) const { return state() == Wanted; }
+  bool is(const std::string &Other) const { return state() == Other; }
 
 private:
   const StateChart &Chart;
-  Metrics &Figures;
+  Metrics &Stats;
   mutable std::mutex Mutex;
   std::string State;
 };
--- a/src/base/Text.cpp
+++ b/src/base/Text.cpp
@@ -37,11 +37,11 @@
 std::string nearestName(const std::string &Name,
                         const std::vector<std::string> &Known) {
   std::string Nearest;
-  std::size_t Best = std::max<std::size_t>(2, Name.size() / 2) + 1;
+  std::size_t BestDistance = std::max<std::size_t>(2, Name.size() / 2) + 1;
   for (const auto &Candidate : Known) {
     const std::size_t Distance = editDistance(Name, Candidate);
-    if (Distance < Best) {
-      Best = Distance;
+    if (Distance < BestDistance) {
+      BestDistance = Distance;
       Nearest = Candidate;
     }
   }
--- a/tests/base/HttpClientTest.cpp
+++ b/tests/base/HttpClientTest.cpp
@@ -22,7 +22,7 @@
              codeOf("{\"tasks\":4,\"adjacency\":\"SAME_RACK\"}"));
 }
 
-TEST(HttpClient, RefusesBrokenJsonAndUnknownFields) {
+TEST(HttpClient, RefusesMalformedJsonAndUnknownFields) {
   CHECK_TRUE(ResultCode::MalformedRequest == codeOf("{\"tasks\":"));
   CHECK_TRUE(ResultCode::MalformedRequest == codeOf("{\"taks\":4}"));
 }
@@ -34,9 +34,9 @@
              codeOf("{\"memory_mb_per_task\":18446744073709551616}"));
 }
 
-TEST(HttpClient, SaysThatNothingWasSentWhenNobodyListens) {
+TEST(HttpClient, ReportsAnUnreachablePeerWhenTheConnectionIsRefused) {
   HttpClient Client("127.0.0.1:1");
-  const auto Answer = Client.call({});
-  CHECK_TRUE(!Answer.has_value());
-  CHECK_TRUE(ResultCode::PeerUnreachable == Answer.error().Code);
+  const auto Response = Client.call({});
+  CHECK_TRUE(!Response.has_value());
+  CHECK_TRUE(ResultCode::PeerUnreachable == Response.error().Code);
 }
--- a/tests/base/ResultCodeTest.cpp
+++ b/tests/base/ResultCodeTest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// The table as docs/RESULT_CODES.md prints it.
+/// Formats the table as in docs/RESULT_CODES.md.
 std::string printedTable() {
   std::ostringstream Out;
   for (const ResultInfo &Row : resultTable())
@@ -24,7 +24,7 @@
 
 TEST_GROUP(ResultCode){};
 
-TEST(ResultCode, HasEachNumberAndNameOnce) {
+TEST(ResultCode, HasUniqueNumbersAndNames) {
   std::set<ResultCode> Numbers;
   std::set<std::string> Names;
   for (const ResultInfo &Row : resultTable()) {
@@ -33,7 +33,7 @@
   }
 }
 
-TEST(ResultCode, IsPrintedWholeInTheDocs) {
+TEST(ResultCode, IsDocumentedCompletely) {
   std::string Docs;
   CHECK_TRUE(
       readFile(std::string(SOURCE_FOLDER) + "/docs/RESULT_CODES.md", Docs));
@@ -42,7 +42,7 @@
              ("docs/RESULT_CODES.md must hold:\n" + printedTable()).c_str());
 }
 
-TEST(ResultCode, HoldsAnUnknownNumberForAnUnknownOutcome) {
+TEST(ResultCode, TreatsAnUnknownNumberAsOutcomeUnknown) {
   const ResultInfo &Row = resultInfo(static_cast<ResultCode>(9999));
   STRCMP_EQUAL("OutcomeUnknown", std::string(Row.Name).c_str());
 }
--- a/tests/base/StateChartTest.cpp
+++ b/tests/base/StateChartTest.cpp
@@ -14,7 +14,7 @@
                          "  shut: {open: ajar, burn: gone}\n"
                          "  ajar: {close: shut}\n";
 
-std::string faultsOf(const std::string &Text) {
+std::string parseError(const std::string &Text) {
   const auto Chart = StateChart::parse(Text, "t.yaml");
   return Chart ? std::string() : Chart.error().Detail;
 }
@@ -23,45 +23,45 @@
 
 TEST_GROUP(StateChart){};
 
-TEST(StateChart, LeadsFromStateToStateByEvents) {
+TEST(StateChart, FollowsTransitions) {
   const auto Chart = StateChart::parse(Door, "door");
   CHECK_TRUE(Chart.has_value());
   STRCMP_EQUAL("ajar", Chart->next("shut", "open")->c_str());
   CHECK_TRUE(Chart->isFinal("gone"));
 }
 
-TEST(StateChart, RefusesAnEventThatAStateDoesNotTake) {
+TEST(StateChart, RefusesAnEventThatTheStateDoesNotAllow) {
   const auto Chart = StateChart::parse(Door, "door");
   const auto Next = Chart->next("ajar", "burn");
   CHECK_TRUE(!Next.has_value());
   CHECK_TRUE(ResultCode::EventNotAllowed == Next.error().Code);
 }
 
-TEST(StateChart, FindsUnreachableStatesAndMissingEvents) {
+TEST(StateChart, ReportsUnreachableStatesAndUnusedEvents) {
   STRCMP_EQUAL("t.yaml: No state takes the event c. State z cannot be reached.",
-               faultsOf("initial: x\nfinal: [y]\nevents: [a, c]\n"
-                        "states:\n  x: {a: y}\n  z: {a: y}\n")
+               parseError("initial: x\nfinal: [y]\nevents: [a, c]\n"
+                          "states:\n  x: {a: y}\n  z: {a: y}\n")
                    .c_str());
 }
 
-TEST(StateChart, FindsWaysToWhatIsNotDeclared) {
+TEST(StateChart, ReportsTransitionsToUndeclaredStates) {
   STRCMP_EQUAL("t.yaml: State q is not declared.",
-               faultsOf("initial: x\nfinal: []\nevents: [a]\n"
-                        "states:\n  x: {a: q}\n")
+               parseError("initial: x\nfinal: []\nevents: [a]\n"
+                          "states:\n  x: {a: q}\n")
                    .c_str());
 }
 
-TEST(StateChart, LoadsEveryChartThatTheProgramsUse) {
+TEST(StateChart, LoadsTheChartsOfTheRepository) {
   const auto Charts = StateCharts::load(std::string(SOURCE_FOLDER) + "/charts");
   CHECK_TEXT(Charts.has_value(), Charts ? "" : Charts.error().Detail.c_str());
 }
 
-TEST(StateChart, CountsEventsThatAMachineRefuses) {
+TEST(StateChart, CountsEventsThatAreNotAllowed) {
   const auto Chart = StateChart::parse(Door, "door");
-  Metrics Figures;
-  StateMachine Machine(*Chart, Figures);
+  Metrics Stats;
+  StateMachine Machine(*Chart, Stats);
   CHECK_TRUE(Machine.take("open"));
   CHECK_FALSE(Machine.take("burn"));
   STRCMP_EQUAL("ajar", Machine.state().c_str());
-  LONGS_EQUAL(1, Figures.dump()->getValue<int>(EventsNotAllowed));
+  LONGS_EQUAL(1, Stats.dump()->getValue<int>(EventsNotAllowed));
 }
