--- a/include/baobabcove/ResultCode.h
+++ b/include/baobabcove/ResultCode.h
@@ -90,7 +90,7 @@
 const ResultInfo &resultInfo(ResultCode Code);
 
 /// Returns the printed form of an outcome: "answered", "not run" or "unknown".
-std::string_view outcomeName(Outcome Ran);
+std::string_view outcomeName(Outcome Value);
 
 /// A refusal or failure.
 struct Error {
--- a/src/base/ResultCode.cpp
+++ b/src/base/ResultCode.cpp
@@ -112,8 +112,8 @@
                        Matches(ResultCode::OutcomeUnknown));
 }
 
-std::string_view outcomeName(Outcome Ran) {
-  switch (Ran) {
+std::string_view outcomeName(Outcome Value) {
+  switch (Value) {
   case Outcome::Answered:
     return "answered";
   case Outcome::NotRun:
