--- a/include/baobabcove/Clock.h
+++ b/include/baobabcove/Clock.h
@@ -1,4 +1,3 @@
-
 #ifndef BAOBABCOVE_CLOCK_H
 #define BAOBABCOVE_CLOCK_H
 
--- a/include/baobabcove/Scheduler.h
+++ b/include/baobabcove/Scheduler.h
@@ -163,7 +163,7 @@
   Milliseconds PatientCheckpointDeadline{600000};
   /// Time allowed for a checkpoint when an urgent job reclaims its guarantee.
   Milliseconds UrgentCheckpointDeadline{1200};
-  /// Jobs that have waited longer than this rank before all others.
+  /// Jobs that have waited at least this long rank before all others.
   Milliseconds AgeLimit{10 * 3600 * 1000};
   /// Estimated run time lost by stopping and restarting a gang.
   Milliseconds RestartCost{30000};
@@ -205,9 +205,10 @@
                   const std::vector<Placement> &Members, bool Borrowed,
                   Instant Started);
   /// Event: earlier attempts of \p Job are known, up to the number \p Last. The
-  /// next attempt gets a higher number. \p Kept is the run time that a
-  /// checkpoint has saved.
-  void attemptUsed(const JobId &Job, Attempt Last, Milliseconds Kept);
+  /// next attempt gets a higher number. \p CheckpointedRun is the run time that
+  /// a checkpoint has saved.
+  void attemptUsed(const JobId &Job, Attempt Last,
+                   Milliseconds CheckpointedRun);
   /// Event: the caller cancelled the job.
   void jobCancelled(const JobId &Job, Instant Now);
 
--- a/src/base/Ring.h
+++ b/src/base/Ring.h
@@ -1,4 +1,3 @@
-
 #ifndef BAOBABCOVE_BASE_RING_H
 #define BAOBABCOVE_BASE_RING_H
 
