--- a/programs/AgentMain.cpp
+++ b/programs/AgentMain.cpp
@@ -3,7 +3,10 @@
 
 int main(int ArgumentCount, char **Arguments) {
   using namespace baobabcove;
-  return daemonMain<AgentProcess>(
-      "baobabcove-agent", "Announces one minion or worker and guards it.",
-      &checkAgentSettings, ArgumentCount, Arguments);
+  return daemonMain<AgentProcess>("baobabcove-agent",
+                                  "Registers one minion or worker with the "
+                                  "entries and controls its requests "
+                                  "or tasks.",
+                                  &checkAgentSettings, ArgumentCount,
+                                  Arguments);
 }
--- a/programs/CtlMain.cpp
+++ b/programs/CtlMain.cpp
@@ -9,49 +9,54 @@
 #include <absl/flags/usage_config.h>
 
 ABSL_FLAG(std::vector<std::string>, entry, {},
-          "ip:port of entries, the first that answers is used");
+          "ip:port of entries; the first reachable one is used");
 ABSL_FLAG(std::string, token, "", "bearer token of a workspace or operator");
 ABSL_FLAG(std::string, token_file, "", "file that holds the token");
 ABSL_FLAG(std::string, output, "table", "table or json");
-ABSL_FLAG(int, timeout_ms, 10000, "time to wait for an answer, ms");
+ABSL_FLAG(int, timeout_ms, 10000, "time to wait for a response, ms");
 ABSL_FLAG(std::string, key, "", "idempotency key of a request or job");
-ABSL_FLAG(bool, idempotent, false, "whether it may be run again");
+ABSL_FLAG(bool, idempotent, false,
+          "whether the request or job may run more than once");
 ABSL_FLAG(uint32_t, deadline_ms, 0, "deadline of a request, ms");
-ABSL_FLAG(std::string, name, "", "job: name for people");
+ABSL_FLAG(std::string, name, "", "job: display name");
 ABSL_FLAG(std::string, job_class, "",
-          "job: jobs that are expected to run alike");
-ABSL_FLAG(uint32_t, tasks, 1, "job: tasks of the gang");
+          "job: class of jobs with similar run times");
+ABSL_FLAG(uint32_t, tasks, 1, "job: number of tasks in the gang");
 ABSL_FLAG(uint32_t, accelerators, 1, "job: accelerators for each task");
 ABSL_FLAG(std::string, adjacency, "any",
           "job: any, same_worker, same_rack or same_data_centre");
 ABSL_FLAG(uint32_t, cores, 0, "job: cores for each task");
 ABSL_FLAG(uint64_t, memory_mb, 0, "job: memory for each task, MiB");
 ABSL_FLAG(uint64_t, run_ms, 0, "job: declared run time, ms");
-ABSL_FLAG(bool, urgent, false, "job: start within seconds");
-ABSL_FLAG(std::string, payload, "", "job: what the worker is to run");
+ABSL_FLAG(bool, urgent, false, "job: urgent, to start within seconds");
+ABSL_FLAG(std::string, payload, "", "job: payload passed to the worker");
 
 namespace {
 
 using namespace baobabcove;
 
+/// Sets the adjacency of \p Job from its flag; returns false for an unknown
+/// name.
 bool readAdjacency(wire::JobSpec &Job) {
   std::string Name = absl::GetFlag(FLAGS_adjacency);
   for (char &C : Name)
     C = static_cast<char>(std::toupper(static_cast<unsigned char>(C)));
-  wire::Adjacency Near{};
-  if (!wire::Adjacency_Parse(Name, &Near))
+  wire::Adjacency Value{};
+  if (!wire::Adjacency_Parse(Name, &Value))
     return false;
-  Job.set_adjacency(Near);
+  Job.set_adjacency(Value);
   return true;
 }
 
+/// Fills \p Options from the flags. Prints an error and returns false when a
+/// flag is invalid.
 bool readOptions(CtlOptions &Options) {
   Options.Entries = absl::GetFlag(FLAGS_entry);
   Options.Token = absl::GetFlag(FLAGS_token);
   const std::string TokenFile = absl::GetFlag(FLAGS_token_file);
   if (!TokenFile.empty()) {
     if (!readFile(TokenFile, Options.Token)) {
-      std::cerr << "--token_file: " << TokenFile << " cannot be read.\n";
+      std::cerr << "--token_file: cannot read " << TokenFile << ".\n";
       return false;
     }
     while (!Options.Token.empty() && std::isspace(Options.Token.back()))
@@ -90,14 +95,15 @@
 
 int main(int ArgumentCount, char **Arguments) {
   absl::SetProgramUsageMessage(CtlCommand::usage());
-  // The flags of this file are what --help lists.
+  // Makes --help list the flags of this file only, not those of libraries.
   absl::FlagsUsageConfig Config;
   Config.contains_help_flags = [](absl::string_view File) {
     return File.find("CtlMain") != absl::string_view::npos;
   };
   absl::SetFlagsUsageConfig(Config);
-  std::vector<char *> Rest = absl::ParseCommandLine(ArgumentCount, Arguments);
-  std::vector<std::string> Words(Rest.begin() + 1, Rest.end());
+  std::vector<char *> Positional =
+      absl::ParseCommandLine(ArgumentCount, Arguments);
+  std::vector<std::string> Words(Positional.begin() + 1, Positional.end());
   CtlOptions Options;
   if (!readOptions(Options))
     return static_cast<int>(CtlExit::Usage);
--- a/programs/EntryMain.cpp
+++ b/programs/EntryMain.cpp
@@ -4,6 +4,6 @@
 int main(int ArgumentCount, char **Arguments) {
   using namespace baobabcove;
   return daemonMain<EntryProcess>(
-      "baobabcove-entry", "Serves callers and operators and routes requests.",
+      "baobabcove-entry", "Serves the HTTP API and routes requests to minions.",
       &checkEntrySettings, ArgumentCount, Arguments);
 }
--- a/programs/LoadMain.cpp
+++ b/programs/LoadMain.cpp
@@ -12,12 +12,12 @@
 #include <absl/flags/usage.h>
 
 ABSL_FLAG(std::string, address, "", "ip:port to send to");
-ABSL_FLAG(std::string, path, "/run", "path of the request");
+ABSL_FLAG(std::string, path, "/run", "path of the requests");
 ABSL_FLAG(std::string, token, "", "bearer token");
-ABSL_FLAG(int, threads, 4, "requests under way at once");
-ABSL_FLAG(double, rate, 0, "requests a second in all; zero for no limit");
-ABSL_FLAG(int, seconds, 5, "how long to send");
-ABSL_FLAG(std::string, body, "hello", "body of the request");
+ABSL_FLAG(int, threads, 4, "number of concurrent requests");
+ABSL_FLAG(double, rate, 0, "total requests per second; zero for no limit");
+ABSL_FLAG(int, seconds, 5, "duration of the load, s");
+ABSL_FLAG(std::string, body, "hello", "body of the requests");
 
 namespace {
 
@@ -26,15 +26,20 @@
 
 constexpr int HttpOk = 200;
 
-/// What all sending threads add up.
-struct Sums {
+/// Results of all sending threads.
+struct LoadResults {
   std::mutex Mutex;
   std::vector<double> LatenciesMs;
+  /// Responses with a status other than 200.
   std::uint64_t Refused = 0;
-  std::uint64_t Broken = 0;
+  /// Requests without a response.
+  std::uint64_t Failed = 0;
 };
 
-void send(Sums &Total, Clock::time_point Until, double ThreadRate) {
+/// Sends requests one after another until \p EndTime, at most \p ThreadRate a
+/// second when that is positive.
+void sendRequests(LoadResults &Results, Clock::time_point EndTime,
+                  double ThreadRate) {
   HttpClient Client(absl::GetFlag(FLAGS_address));
   HttpCall Call;
   Call.Path = absl::GetFlag(FLAGS_path);
@@ -42,59 +47,63 @@
   Call.ContentType = "text/plain";
   Call.Headers["Authorization"] = "Bearer " + absl::GetFlag(FLAGS_token);
   Call.Headers["X-Idempotent"] = "true";
-  Clock::time_point Next = Clock::now();
-  while (Next < Until && Clock::now() < Until) {
-    std::this_thread::sleep_until(Next);
-    const Clock::time_point Began = Clock::now();
-    const auto Answer = Client.call(Call);
-    const std::chrono::duration<double, std::milli> Took = Clock::now() - Began;
-    const std::lock_guard<std::mutex> Lock(Total.Mutex);
-    if (!Answer)
-      ++Total.Broken;
-    else if (Answer->Status != HttpOk)
-      ++Total.Refused;
+  Clock::time_point NextSend = Clock::now();
+  while (NextSend < EndTime && Clock::now() < EndTime) {
+    std::this_thread::sleep_until(NextSend);
+    const Clock::time_point Start = Clock::now();
+    const auto Response = Client.call(Call);
+    const std::chrono::duration<double, std::milli> Latency =
+        Clock::now() - Start;
+    const std::lock_guard<std::mutex> Lock(Results.Mutex);
+    if (!Response)
+      ++Results.Failed;
+    else if (Response->Status != HttpOk)
+      ++Results.Refused;
     else
-      Total.LatenciesMs.push_back(Took.count());
-    Next = ThreadRate > 0
-               ? Next + std::chrono::duration_cast<Clock::duration>(
-                            std::chrono::duration<double>(1 / ThreadRate))
-               : Clock::now();
+      Results.LatenciesMs.push_back(Latency.count());
+    NextSend =
+        ThreadRate > 0
+            ? NextSend + std::chrono::duration_cast<Clock::duration>(
+                             std::chrono::duration<double>(1 / ThreadRate))
+            : Clock::now();
   }
 }
 
-double quantile(const std::vector<double> &Sorted, double Share) {
+double quantile(const std::vector<double> &Sorted, double Fraction) {
   if (Sorted.empty())
     return 0;
   return Sorted[static_cast<std::size_t>(
-      Share * static_cast<double>(Sorted.size() - 1))];
+      Fraction * static_cast<double>(Sorted.size() - 1))];
 }
 
 } // namespace
 
 int main(int ArgumentCount, char **Arguments) {
-  absl::SetProgramUsageMessage("Sends requests and prints how they fared.");
+  absl::SetProgramUsageMessage("Sends requests at a given rate and prints "
+                               "their outcomes and latencies.");
   absl::ParseCommandLine(ArgumentCount, Arguments);
-  Sums Total;
+  LoadResults Results;
   const int Threads = absl::GetFlag(FLAGS_threads);
   const int Seconds = absl::GetFlag(FLAGS_seconds);
-  const auto Until = Clock::now() + std::chrono::seconds(Seconds);
-  std::vector<std::thread> List;
-  List.reserve(static_cast<std::size_t>(Threads));
+  const auto EndTime = Clock::now() + std::chrono::seconds(Seconds);
+  std::vector<std::thread> Senders;
+  Senders.reserve(static_cast<std::size_t>(Threads));
   for (int I = 0; I < Threads; ++I)
-    List.emplace_back(
-        [&] { send(Total, Until, absl::GetFlag(FLAGS_rate) / Threads); });
-  for (std::thread &Each : List)
-    Each.join();
-  std::sort(Total.LatenciesMs.begin(), Total.LatenciesMs.end());
-  Poco::JSON::Object Line(Poco::JSON_PRESERVE_KEY_ORDER);
-  Line.set("answered", Total.LatenciesMs.size());
-  Line.set("refused", Total.Refused);
-  Line.set("broken", Total.Broken);
-  Line.set("per_second",
-           static_cast<double>(Total.LatenciesMs.size()) / Seconds);
-  Line.set("p50_ms", quantile(Total.LatenciesMs, 0.5));
-  Line.set("p99_ms", quantile(Total.LatenciesMs, 0.99));
-  Line.stringify(std::cout);
+    Senders.emplace_back([&] {
+      sendRequests(Results, EndTime, absl::GetFlag(FLAGS_rate) / Threads);
+    });
+  for (std::thread &Sender : Senders)
+    Sender.join();
+  std::sort(Results.LatenciesMs.begin(), Results.LatenciesMs.end());
+  Poco::JSON::Object Summary(Poco::JSON_PRESERVE_KEY_ORDER);
+  Summary.set("answered", Results.LatenciesMs.size());
+  Summary.set("refused", Results.Refused);
+  Summary.set("broken", Results.Failed);
+  Summary.set("per_second",
+              static_cast<double>(Results.LatenciesMs.size()) / Seconds);
+  Summary.set("p50_ms", quantile(Results.LatenciesMs, 0.5));
+  Summary.set("p99_ms", quantile(Results.LatenciesMs, 0.99));
+  Summary.stringify(std::cout);
   std::cout << std::endl;
   return 0;
 }
--- a/src/cli/ConfigurationVerbs.cpp
+++ b/src/cli/ConfigurationVerbs.cpp
@@ -15,18 +15,19 @@
 
 using Lines = std::vector<std::string>;
 
-/// The files of a folder as a configuration that has no version yet.
+/// Returns the files of a folder as a bundle without a version.
 wire::ConfigurationBundle
-bundleOf(const std::vector<wire::ConfigurationFile> &Files) {
+toBundle(const std::vector<wire::ConfigurationFile> &Files) {
   wire::ConfigurationBundle Bundle;
   for (const auto &File : Files)
     *Bundle.add_files() = File;
   return Bundle;
 }
 
-/// The lines of one file of a configuration; none when it has no such file.
-Lines linesOf(const wire::ConfigurationBundle &Bundle,
-              const std::string &Name) {
+/// Returns the lines of one file of \p Bundle, or none when the bundle has no
+/// such file.
+Lines linesOfFile(const wire::ConfigurationBundle &Bundle,
+                  const std::string &Name) {
   Lines Result;
   for (const auto &File : Bundle.files()) {
     if (File.name() != Name)
@@ -38,38 +39,40 @@
   return Result;
 }
 
-/// Prints the lines of one text that the other one does not have.
-void printMissing(std::ostream &Out, const char *Mark, const Lines &Of,
-                  const Lines &In) {
-  for (const std::string &Line : Of)
-    if (std::find(In.begin(), In.end(), Line) == In.end())
-      Out << Mark << Line << '\n';
+/// Prints the lines of \p Source that are not in \p Other, each after
+/// \p Prefix.
+void printLinesNotIn(std::ostream &Out, const char *Prefix, const Lines &Source,
+                     const Lines &Other) {
+  for (const std::string &Line : Source)
+    if (std::find(Other.begin(), Other.end(), Line) == Other.end())
+      Out << Prefix << Line << '\n';
 }
 
 } // namespace
 
-Expected<wire::ConfigurationBundle> CtlCommand::presentBundle() {
-  const auto Answer = call("GET", "/v1/configuration");
-  if (!Answer)
-    return tl::unexpected<Error>(Answer.error());
+Expected<wire::ConfigurationBundle> CtlCommand::fetchActiveBundle() {
+  const auto Response = call("GET", "/v1/configuration");
+  if (!Response)
+    return tl::unexpected<Error>(Response.error());
   wire::ConfigurationBundle Bundle;
-  // Before the first configuration nobody can be identified.
-  if (Answer->Status != HttpOk)
+  // Before the first configuration there are no tokens, so the entry rejects
+  // every caller; the bundle stays empty with version 0.
+  if (Response->Status != HttpOk)
     return Bundle;
-  if (auto Read = fromJson(Answer->Body, Bundle); !Read)
-    return tl::unexpected<Error>(Read.error());
+  if (auto Parsed = fromJson(Response->Body, Bundle); !Parsed)
+    return tl::unexpected<Error>(Parsed.error());
   return Bundle;
 }
 
 CtlExit CtlCommand::sendConfiguration(const Words &Arguments, bool CheckOnly) {
   const auto Files = readConfigurationFolder(Arguments[0]);
   if (!Files)
-    return report(Files.error());
-  const auto Present = presentBundle();
-  if (!Present)
-    return report(Present.error());
+    return reportError(Files.error());
+  const auto Active = fetchActiveBundle();
+  if (!Active)
+    return reportError(Active.error());
   wire::ApplyRequest Change;
-  Change.set_base_version(Present->version());
+  Change.set_base_version(Active->version());
   Change.set_change_id(randomName());
   for (const auto &File : *Files)
     *Change.add_files() = File;
@@ -82,33 +85,33 @@
 CtlExit CtlCommand::validateConfiguration(const Words &Arguments) {
   const auto Files = readConfigurationFolder(Arguments[0]);
   if (!Files)
-    return report(Files.error());
-  const ConfigurationReport Report = readConfiguration(bundleOf(*Files));
+    return reportError(Files.error());
+  const ConfigurationReport Report = readConfiguration(toBundle(*Files));
   for (const ConfigurationFault &Fault : Report.Faults)
     Err << Fault.str() << '\n';
   if (!Report.Faults.empty())
     return CtlExit::Refused;
-  // With an entry at hand, the guarantees are checked against its workers.
+  // Only an entry knows the workers against which guarantees are checked.
   if (!Options.Entries.empty())
     return sendConfiguration(Arguments, true);
-  Out << "The folder is valid.\n";
+  Out << "The configuration folder is valid.\n";
   return CtlExit::Ok;
 }
 
 CtlExit CtlCommand::diffConfiguration(const Words &Arguments) {
   const auto Files = readConfigurationFolder(Arguments[0]);
   if (!Files)
-    return report(Files.error());
-  const auto Present = presentBundle();
-  if (!Present)
-    return report(Present.error());
-  const wire::ConfigurationBundle Wanted = bundleOf(*Files);
-  for (const std::string &Name : changedFiles(*Present, Wanted)) {
-    const Lines Before = linesOf(*Present, Name);
-    const Lines After = linesOf(Wanted, Name);
+    return reportError(Files.error());
+  const auto Active = fetchActiveBundle();
+  if (!Active)
+    return reportError(Active.error());
+  const wire::ConfigurationBundle Proposed = toBundle(*Files);
+  for (const std::string &Name : changedFiles(*Active, Proposed)) {
+    const Lines Before = linesOfFile(*Active, Name);
+    const Lines After = linesOfFile(Proposed, Name);
     Out << Name << '\n';
-    printMissing(Out, "- ", Before, After);
-    printMissing(Out, "+ ", After, Before);
+    printLinesNotIn(Out, "- ", Before, After);
+    printLinesNotIn(Out, "+ ", After, Before);
   }
   return CtlExit::Ok;
 }
@@ -118,7 +121,7 @@
 }
 
 CtlExit CtlCommand::showHistory(const Words &) {
-  return printRows(call("GET", "/v1/configuration"), "history",
+  return printList(call("GET", "/v1/configuration"), "history",
                    {"version", "operator", "accepted_at_ms", "changed_files"});
 }
 
--- a/src/cli/CtlCommand.cpp
+++ b/src/cli/CtlCommand.cpp
@@ -14,7 +14,8 @@
 constexpr int HttpOk = 200;
 constexpr int HttpAccepted = 202;
 constexpr int HttpConflict = 409;
-constexpr std::int64_t WaitStepMs = 10000;
+/// Longest time for which one request of "job wait" lets the entry wait.
+constexpr std::int64_t MaxPollWaitMs = 10000;
 
 } // namespace
 
@@ -24,33 +25,37 @@
 const std::vector<CtlCommand::Verb> &CtlCommand::verbs() {
   using C = CtlCommand;
   static const std::vector<Verb> Table = {
-      {"config validate", "DIR", "check a folder without effect", 1,
+      {"config validate", "DIR",
+       "check a configuration folder without applying it", 1,
        &C::validateConfiguration},
-      {"config diff", "DIR", "show what a folder would change", 1,
+      {"config diff", "DIR", "show what applying a folder would change", 1,
        &C::diffConfiguration},
-      {"config apply", "DIR", "put a folder into force", 1,
+      {"config apply", "DIR", "apply a configuration folder", 1,
        &C::applyConfiguration},
-      {"config history", "", "list the newest changes", 0, &C::showHistory},
-      {"job submit", "", "submit the job that the flags describe", 0,
+      {"config history", "", "list the latest configuration changes", 0,
+       &C::showHistory},
+      {"job submit", "", "submit the job described by the flags", 0,
        &C::submitJob},
       {"job status", "ID", "show a job", 1, &C::showJob},
       {"job wait", "ID", "wait until a job has ended", 1, &C::waitForJob},
       {"job cancel", "ID", "cancel a job", 1, &C::cancelJob},
       {"job list", "", "list the jobs of the workspace", 0, &C::listJobs},
-      {"request", "SERVICE BODY", "send a request and print the answer", 2,
+      {"request", "SERVICE BODY", "send a request and print the response", 2,
        &C::sendRequest},
-      {"ticket", "SERVICE", "take an idempotency key that needs no store", 1,
-       &C::takeTicket},
+      {"ticket", "SERVICE",
+       "create an idempotency key that works without the store", 1,
+       &C::createTicket},
       {"workspace list", "", "list workspaces", 0, &C::listWorkspaces},
-      {"member list", "", "list every process that announced itself", 0,
+      {"member list", "", "list every process that sends heartbeats", 0,
        &C::listMembers},
       {"minion list", "", "list minions", 0, &C::listMinions},
-      {"minion drain", "NODE", "give a minion nothing new", 1, &C::drain},
-      {"minion undrain", "NODE", "take a minion back into service", 1,
+      {"minion drain", "NODE", "stop sending new requests to a minion", 1,
+       &C::drain},
+      {"minion undrain", "NODE", "resume sending requests to a minion", 1,
        &C::undrain},
       {"worker list", "", "list workers", 0, &C::listWorkers},
-      {"worker drain", "NODE", "give a worker nothing new", 1, &C::drain},
-      {"worker undrain", "NODE", "take a worker back into service", 1,
+      {"worker drain", "NODE", "stop placing gangs on a worker", 1, &C::drain},
+      {"worker undrain", "NODE", "resume placing gangs on a worker", 1,
        &C::undrain},
       {"state", "", "dump the state of the process at --entry", 0, &C::state},
       {"digest", "TOKEN", "print the SHA-256 of a token", 1, &C::digest},
@@ -60,29 +65,30 @@
 
 std::string CtlCommand::usage() {
   std::ostringstream Text;
-  Text << "Talks to an entry.\nbaobabctl [flags] VERB\n\n";
+  Text << "Sends one command to an entry.\nbaobabctl [flags] VERB\n\n";
   std::vector<std::vector<std::string>> Rows;
   for (const Verb &Each : verbs())
     Rows.push_back(
         {"  " + std::string(Each.Name) + " " + std::string(Each.Arguments),
          std::string(Each.Help)});
   printTable(Text, Rows);
-  Text << "\nExit codes: 0 done, 1 refused, 2 usage, 3 conflict, 4 outcome "
-          "unknown, 5 no entry reached.\n";
+  Text << "\nExit codes: 0 success, 1 refused, 2 usage error, 3 conflict, "
+          "4 unknown outcome, 5 no entry reachable.\n";
   return Text.str();
 }
 
-CtlExit CtlCommand::run(const Words &Line) {
+CtlExit CtlCommand::run(const Words &CommandLine) {
   for (const Verb &Each : verbs()) {
     const std::size_t NameWords =
         Each.Name.find(' ') == std::string_view::npos ? 1 : 2;
-    if (Line.size() < NameWords)
+    if (CommandLine.size() < NameWords)
       continue;
-    const std::string Name = NameWords == 1 ? Line[0] : Line[0] + " " + Line[1];
+    const std::string Name =
+        NameWords == 1 ? CommandLine[0] : CommandLine[0] + " " + CommandLine[1];
     if (Name != Each.Name)
       continue;
-    const Words Arguments(Line.begin() + static_cast<long>(NameWords),
-                          Line.end());
+    const Words Arguments(CommandLine.begin() + static_cast<long>(NameWords),
+                          CommandLine.end());
     if (Arguments.size() == Each.ArgumentCount)
       return (this->*Each.Run)(Arguments);
     Err << "Usage: baobabctl " << Each.Name << ' ' << Each.Arguments << '\n';
@@ -103,19 +109,21 @@
   Call.Patience = Options.Timeout;
   if (!Options.Token.empty())
     Call.Headers["Authorization"] = "Bearer " + Options.Token;
-  Expected<HttpAnswer> Answer =
-      failure(ResultCode::PeerUnreachable, "No --entry is named.");
+  Expected<HttpAnswer> Response =
+      failure(ResultCode::PeerUnreachable,
+              "--entry is missing: name at least one entry as ip:port.");
   for (const std::string &Entry : Options.Entries) {
     HttpClient Client(Entry);
-    Answer = Client.call(Call);
-    // Only a call that was surely not sent goes on to the next entry.
-    if (Answer || Answer.error().Code != ResultCode::PeerUnreachable)
-      return Answer;
+    Response = Client.call(Call);
+    // PeerUnreachable is the only failure in which nothing was sent; after any
+    // other one, trying the next entry could run the call twice.
+    if (Response || Response.error().Code != ResultCode::PeerUnreachable)
+      return Response;
   }
-  return Answer;
+  return Response;
 }
 
-CtlExit CtlCommand::report(const Error &Fault) {
+CtlExit CtlCommand::reportError(const Error &Fault) {
   const ResultInfo &Info = resultInfo(Fault.Code);
   Err << static_cast<std::uint32_t>(Fault.Code) << ' ' << Info.Name << " ("
       << outcomeName(Info.Ran) << "): " << Fault.Detail << '\n'
@@ -125,62 +133,63 @@
   return Info.Ran == Outcome::Unknown ? CtlExit::Unknown : CtlExit::Refused;
 }
 
-CtlExit CtlCommand::reportAnswer(const HttpAnswer &Answer) {
-  const auto Body = parseObject(Answer.Body);
+CtlExit CtlCommand::reportErrorResponse(const HttpAnswer &Response) {
+  const auto Body = parseObject(Response.Body);
   if (!Body || !Body->has("code")) {
-    Err << "The entry answered " << Answer.Status << ": " << Answer.Body
-        << '\n';
+    Err << "The entry returned HTTP status " << Response.Status
+        << " without a result code: " << Response.Body << '\n';
     return CtlExit::Refused;
   }
-  Err << cell(Body, "code") << ' ' << cell(Body, "name") << " ("
-      << cell(Body, "outcome") << "): " << cell(Body, "detail") << '\n'
-      << cell(Body, "next_step") << '\n';
-  if (Answer.Status == HttpConflict)
+  Err << fieldText(Body, "code") << ' ' << fieldText(Body, "name") << " ("
+      << fieldText(Body, "outcome") << "): " << fieldText(Body, "detail")
+      << '\n'
+      << fieldText(Body, "next_step") << '\n';
+  if (Response.Status == HttpConflict)
     return CtlExit::Conflict;
-  return cell(Body, "outcome") == "unknown" ? CtlExit::Unknown
-                                            : CtlExit::Refused;
+  return fieldText(Body, "outcome") == "unknown" ? CtlExit::Unknown
+                                                 : CtlExit::Refused;
 }
 
-CtlExit CtlCommand::printObject(const Expected<HttpAnswer> &Answer) {
-  if (!Answer)
-    return report(Answer.error());
-  if (Answer->Status != HttpOk && Answer->Status != HttpAccepted)
-    return reportAnswer(*Answer);
-  const auto Body = parseObject(Answer->Body);
+CtlExit CtlCommand::printObject(const Expected<HttpAnswer> &Response) {
+  if (!Response)
+    return reportError(Response.error());
+  if (Response->Status != HttpOk && Response->Status != HttpAccepted)
+    return reportErrorResponse(*Response);
+  const auto Body = parseObject(Response->Body);
   if (Options.Json || !Body) {
-    Out << Answer->Body << '\n';
+    Out << Response->Body << '\n';
     return CtlExit::Ok;
   }
   std::vector<std::vector<std::string>> Rows;
   for (const std::string &Key : Body->getNames())
-    Rows.push_back({Key, cell(Body, Key)});
+    Rows.push_back({Key, fieldText(Body, Key)});
   printTable(Out, Rows);
   return CtlExit::Ok;
 }
 
-CtlExit CtlCommand::printRows(const Expected<HttpAnswer> &Answer,
-                              const std::string &List,
+CtlExit CtlCommand::printList(const Expected<HttpAnswer> &Response,
+                              const std::string &ListKey,
                               const std::vector<std::string> &Columns,
                               const std::string &Kind) {
-  if (!Answer)
-    return report(Answer.error());
-  if (Answer->Status != HttpOk)
-    return reportAnswer(*Answer);
+  if (!Response)
+    return reportError(Response.error());
+  if (Response->Status != HttpOk)
+    return reportErrorResponse(*Response);
   if (Options.Json) {
-    Out << Answer->Body << '\n';
+    Out << Response->Body << '\n';
     return CtlExit::Ok;
   }
   std::vector<std::vector<std::string>> Rows = {Columns};
-  const auto Body = parseObject(Answer->Body);
-  const auto Items = Body ? Body->getArray(List) : nullptr;
+  const auto Body = parseObject(Response->Body);
+  const auto Items = Body ? Body->getArray(ListKey) : nullptr;
   for (std::size_t I = 0; Items && I < Items->size(); ++I) {
     const auto Item = Items->getObject(static_cast<unsigned>(I));
-    if (!Kind.empty() && cell(Item, "kind") != Kind)
+    if (!Kind.empty() && fieldText(Item, "kind") != Kind)
       continue;
     std::vector<std::string> Row;
     Row.reserve(Columns.size());
     for (const std::string &Name : Columns)
-      Row.push_back(column(Item, Name));
+      Row.push_back(nestedFieldText(Item, Name));
     Rows.push_back(Row);
   }
   printTable(Out, Rows);
@@ -201,25 +210,27 @@
 CtlExit CtlCommand::waitForJob(const Words &Arguments) {
   const Instant Deadline = monotonicNow() + Options.Timeout;
   for (;;) {
-    const std::int64_t Left = (Deadline - monotonicNow()).count();
-    const std::int64_t Step = std::clamp<std::int64_t>(Left, 0, WaitStepMs);
-    const auto Answer = call("GET", "/v1/jobs/" + Arguments[0] +
-                                        "?wait_ms=" + std::to_string(Step));
+    const std::int64_t Remaining = (Deadline - monotonicNow()).count();
+    const std::int64_t Wait =
+        std::clamp<std::int64_t>(Remaining, 0, MaxPollWaitMs);
+    const auto Response = call("GET", "/v1/jobs/" + Arguments[0] +
+                                          "?wait_ms=" + std::to_string(Wait));
     wire::JobRecord Record;
-    if (!Answer || Answer->Status != HttpOk || !fromJson(Answer->Body, Record))
-      return printObject(Answer);
+    if (!Response || Response->Status != HttpOk ||
+        !fromJson(Response->Body, Record))
+      return printObject(Response);
     if (Record.state() == wire::DONE)
-      return printObject(Answer);
+      return printObject(Response);
     if (Record.state() == wire::JOB_FAILED ||
         Record.state() == wire::CANCELLED) {
-      (void)printObject(Answer);
+      (void)printObject(Response);
       const auto Code = static_cast<ResultCode>(Record.code());
       return resultInfo(Code).Ran == Outcome::Unknown ? CtlExit::Unknown
                                                       : CtlExit::Refused;
     }
-    if (Left <= 0) {
-      (void)printObject(Answer);
-      Err << "The job has not ended yet.\n";
+    if (Remaining <= 0) {
+      (void)printObject(Response);
+      Err << "The job did not end within --timeout_ms.\n";
       return CtlExit::Unknown;
     }
   }
@@ -230,7 +241,7 @@
 }
 
 CtlExit CtlCommand::listJobs(const Words &) {
-  return printRows(call("GET", "/v1/jobs"), "jobs",
+  return printList(call("GET", "/v1/jobs"), "jobs",
                    {"id", "state", "spec.workspace", "spec.name", "spec.tasks",
                     "spec.accelerators_per_task", "attempt", "detail"});
 }
@@ -243,42 +254,43 @@
     Extra.Headers["Idempotency-Key"] = Options.Key;
   if (Options.DeadlineMs > 0)
     Extra.Headers["X-Deadline-Ms"] = std::to_string(Options.DeadlineMs);
-  const auto Answer = call("POST", "/v1/services/" + Arguments[0] + "/requests",
-                           Arguments[1], Extra);
-  if (!Answer)
-    return report(Answer.error());
-  if (Answer->Status != HttpOk)
-    return reportAnswer(*Answer);
-  Out << Answer->Body << '\n';
+  const auto Response =
+      call("POST", "/v1/services/" + Arguments[0] + "/requests", Arguments[1],
+           Extra);
+  if (!Response)
+    return reportError(Response.error());
+  if (Response->Status != HttpOk)
+    return reportErrorResponse(*Response);
+  Out << Response->Body << '\n';
   return CtlExit::Ok;
 }
 
-CtlExit CtlCommand::takeTicket(const Words &Arguments) {
+CtlExit CtlCommand::createTicket(const Words &Arguments) {
   return printObject(call("POST", "/v1/services/" + Arguments[0] + "/tickets"));
 }
 
 CtlExit CtlCommand::listWorkspaces(const Words &) {
-  return printRows(call("GET", "/v1/workspaces"), "workspaces",
+  return printList(call("GET", "/v1/workspaces"), "workspaces",
                    {"workspace", "guaranteed_accelerators", "max_requests",
                     "max_queued_jobs", "open_jobs"});
 }
 
 CtlExit CtlCommand::listMembers(const Words &) {
-  return printRows(call("GET", "/v1/members"), "members",
+  return printList(call("GET", "/v1/members"), "members",
                    {"node", "kind", "place", "data_centre", "rack",
                     "configuration_version", "draining", "silent_ms",
                     "http_address"});
 }
 
 CtlExit CtlCommand::listMinions(const Words &) {
-  return printRows(call("GET", "/v1/members"), "members",
+  return printList(call("GET", "/v1/members"), "members",
                    {"node", "place", "data_centre", "service", "slots",
                     "in_flight", "draining", "silent_ms"},
                    "MINION");
 }
 
 CtlExit CtlCommand::listWorkers(const Words &) {
-  return printRows(call("GET", "/v1/members"), "members",
+  return printList(call("GET", "/v1/members"), "members",
                    {"node", "place", "data_centre", "rack", "accelerators",
                     "parts", "draining", "silent_ms"},
                    "WORKER");
--- a/src/cli/CtlCommand.h
+++ b/src/cli/CtlCommand.h
@@ -1,6 +1,3 @@
-/// \file
-/// The verbs of baobabctl, apart from its flags.
-
 #ifndef BAOBABCOVE_CLI_CTLCOMMAND_H
 #define BAOBABCOVE_CLI_CTLCOMMAND_H
 
@@ -17,7 +14,7 @@
 
 namespace baobabcove {
 
-/// What the flags say.
+/// Values of the command-line flags.
 struct CtlOptions {
   std::vector<std::string> Entries;
   std::string Token;
@@ -25,30 +22,35 @@
   Milliseconds Timeout{10000};
   std::string Key;
   bool Idempotent = false;
-  /// Deadline of a request; zero for the service's own.
+  /// Deadline of a request in ms; zero selects the service's default.
   std::uint32_t DeadlineMs = 0;
   wire::JobSpec Job;
 };
 
-/// Exit codes of the program.
+/// Exit codes of baobabctl.
 enum class CtlExit {
   Ok = 0,
   Refused = 1,
   Usage = 2,
   Conflict = 3,
+  /// The command may or may not have taken effect, or a job that was waited
+  /// for has not ended.
   Unknown = 4,
+  /// No entry could be reached; nothing was sent.
   Unreachable = 5,
 };
 
-/// Runs one command line against the first entry that answers.
+/// Runs one command of baobabctl against the first reachable entry.
 class CtlCommand {
 public:
   CtlCommand(CtlOptions Options, std::ostream &Out, std::ostream &Err);
 
-  /// \p Words are the verb and its arguments.
-  CtlExit run(const std::vector<std::string> &Words);
+  /// Runs the command. \p CommandLine holds the verb and its arguments without
+  /// flags. Prints the usage text and returns CtlExit::Usage for an unknown
+  /// verb or a wrong number of arguments.
+  CtlExit run(const std::vector<std::string> &CommandLine);
 
-  /// One line for each verb.
+  /// Returns the help text: one line for each verb, then the exit codes.
   static std::string usage();
 
 private:
@@ -73,7 +75,7 @@
   CtlExit cancelJob(const Words &Arguments);
   CtlExit listJobs(const Words &Arguments);
   CtlExit sendRequest(const Words &Arguments);
-  CtlExit takeTicket(const Words &Arguments);
+  CtlExit createTicket(const Words &Arguments);
   CtlExit listWorkspaces(const Words &Arguments);
   CtlExit listMembers(const Words &Arguments);
   CtlExit listMinions(const Words &Arguments);
@@ -83,16 +85,23 @@
   CtlExit state(const Words &Arguments);
   CtlExit digest(const Words &Arguments);
 
+  /// Sends a request to the entries in order until one is reachable.
   Expected<HttpAnswer> call(const std::string &Method, const std::string &Path,
                             const std::string &Body = {},
                             const HttpCall &Extra = {});
-  CtlExit report(const Error &Fault);
-  CtlExit reportAnswer(const HttpAnswer &Answer);
-  CtlExit printObject(const Expected<HttpAnswer> &Answer);
-  CtlExit printRows(const Expected<HttpAnswer> &Answer, const std::string &List,
+  CtlExit reportError(const Error &Fault);
+  CtlExit reportErrorResponse(const HttpAnswer &Response);
+  /// Prints a JSON object as one row per key, or as it came with --output=json.
+  CtlExit printObject(const Expected<HttpAnswer> &Response);
+  /// Prints the objects of the array \p ListKey as a table of \p Columns;
+  /// dotted column names select fields of nested objects. A non-empty \p Kind
+  /// keeps only objects of that kind.
+  CtlExit printList(const Expected<HttpAnswer> &Response,
+                    const std::string &ListKey,
                     const std::vector<std::string> &Columns,
                     const std::string &Kind = {});
-  Expected<wire::ConfigurationBundle> presentBundle();
+  /// Reads the active configuration; an empty bundle when there is none yet.
+  Expected<wire::ConfigurationBundle> fetchActiveBundle();
   CtlExit setDraining(const std::string &Node, const std::string &Method);
   CtlExit sendConfiguration(const Words &Arguments, bool CheckOnly);
 
--- a/src/cli/Printing.cpp
+++ b/src/cli/Printing.cpp
@@ -17,7 +17,8 @@
   }
 }
 
-std::string cell(const Poco::JSON::Object::Ptr &Row, const std::string &Key) {
+std::string fieldText(const Poco::JSON::Object::Ptr &Row,
+                      const std::string &Key) {
   if (!Row->has(Key))
     return "-";
   const Poco::Dynamic::Var Value = Row->get(Key);
@@ -29,7 +30,7 @@
   return Value.convert<std::string>();
 }
 
-std::string column(Poco::JSON::Object::Ptr Row, std::string Key) {
+std::string nestedFieldText(Poco::JSON::Object::Ptr Row, std::string Key) {
   for (std::size_t Dot = Key.find('.'); Dot != std::string::npos;
        Dot = Key.find('.')) {
     Row = Row->getObject(Key.substr(0, Dot));
@@ -37,7 +38,7 @@
       return "-";
     Key = Key.substr(Dot + 1);
   }
-  return cell(Row, Key);
+  return fieldText(Row, Key);
 }
 
 void printTable(std::ostream &Out, const TableRows &Rows) {
--- a/src/cli/Printing.h
+++ b/src/cli/Printing.h
@@ -1,6 +1,3 @@
-/// \file
-/// How baobabctl prints what entries answer.
-
 #ifndef BAOBABCOVE_CLI_PRINTING_H
 #define BAOBABCOVE_CLI_PRINTING_H
 
@@ -12,20 +9,22 @@
 
 namespace baobabcove {
 
-/// Rows of cells; the first row may be the titles.
+/// Rows of a table; the first row may hold the column titles.
 using TableRows = std::vector<std::vector<std::string>>;
 
-/// Reads a JSON object; null when the text is none.
+/// Parses a JSON object; returns null for any other text.
 Poco::JSON::Object::Ptr parseObject(const std::string &Text);
 
-/// The printed value of a key, or "-" when it is missing.
-std::string cell(const Poco::JSON::Object::Ptr &Row, const std::string &Key);
+/// Returns the text of the field \p Key, or "-" when it is missing. An object
+/// is returned as JSON.
+std::string fieldText(const Poco::JSON::Object::Ptr &Row,
+                      const std::string &Key);
 
-/// The printed value of a dotted key, such as "spec.workspace", which looks
-/// into inner objects.
-std::string column(Poco::JSON::Object::Ptr Row, std::string Key);
+/// Returns the text of the field at a dotted path of keys, such as
+/// "spec.workspace", or "-" when it is missing.
+std::string nestedFieldText(Poco::JSON::Object::Ptr Row, std::string Key);
 
-/// Prints rows with their columns aligned.
+/// Prints \p Rows with aligned columns.
 void printTable(std::ostream &Out, const TableRows &Rows);
 
 } // namespace baobabcove
--- a/tests/cli/PrintingTest.cpp
+++ b/tests/cli/PrintingTest.cpp
@@ -14,14 +14,14 @@
   STRCMP_EQUAL("id    state\nj-10  done\n", Out.str().c_str());
 }
 
-TEST(Printing, LooksIntoInnerObjects) {
+TEST(Printing, ReadsFieldsOfNestedObjects) {
   const auto Row = parseObject(R"({"spec":{"workspace":"w"},"tasks":3})");
-  STRCMP_EQUAL("w", column(Row, "spec.workspace").c_str());
-  STRCMP_EQUAL("3", column(Row, "tasks").c_str());
+  STRCMP_EQUAL("w", nestedFieldText(Row, "spec.workspace").c_str());
+  STRCMP_EQUAL("3", nestedFieldText(Row, "tasks").c_str());
 }
 
-TEST(Printing, MarksWhatIsMissing) {
+TEST(Printing, PrintsADashForMissingFields) {
   const auto Row = parseObject("{}");
-  STRCMP_EQUAL("-", column(Row, "spec.workspace").c_str());
+  STRCMP_EQUAL("-", nestedFieldText(Row, "spec.workspace").c_str());
   POINTERS_EQUAL(nullptr, parseObject("no JSON").get());
 }
