--- a/benchmarks/SchedulerBenchmark.cpp
+++ b/benchmarks/SchedulerBenchmark.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Time of one decision against the number of workers.
+/// Measures the time of one scheduling decision by the number of workers.
 
 #include "baobabcove/Scheduler.h"
 
@@ -14,12 +14,12 @@
 using namespace baobabcove;
 
 constexpr std::uint32_t WorkerSize = 8;
-/// Running tasks for each worker, as at 1,125 workers and 5,000 tasks.
+/// Running tasks per worker: 5,000 tasks on 1,125 workers.
 constexpr double TasksPerWorker = 4.45;
 constexpr int WorkersPerRack = 3;
 
-JobInfo job(std::uint64_t Number, std::uint32_t Tasks,
-            std::uint32_t Accelerators, Instant Now) {
+JobInfo makeJob(std::uint64_t Number, std::uint32_t Tasks,
+                std::uint32_t Accelerators, Instant Now) {
   JobInfo Info;
   Info.Id = JobId("j" + std::to_string(Number));
   Info.Workspace = WorkspaceId("w" + std::to_string(Number % 49));
@@ -30,10 +30,10 @@
   return Info;
 }
 
-/// A cell in which most workers are busy.
-class Cell {
+/// A scheduler with workers of which most are busy.
+class BusyCell {
 public:
-  explicit Cell(int Workers) : Policy(SchedulerOptions()) {
+  explicit BusyCell(int Workers) : Policy(SchedulerOptions()) {
     for (int I = 0; I < Workers; ++I) {
       WorkerInfo Info;
       Info.Id = NodeId("n" + std::to_string(I));
@@ -57,24 +57,25 @@
       submit(1, 1);
   }
 
-  /// Submits a job and decides; returns the time of the decision in µs.
+  /// Submits a job and starts what the scheduler decides. Returns the time of
+  /// the decision in µs.
   double submit(std::uint32_t Tasks, std::uint32_t Accelerators) {
     Now += Milliseconds(10);
-    Policy.jobQueued(job(Next++, Tasks, Accelerators, Now), Now);
-    const auto Began = std::chrono::steady_clock::now();
+    Policy.jobQueued(makeJob(NextJob++, Tasks, Accelerators, Now), Now);
+    const auto DecisionStart = std::chrono::steady_clock::now();
     const auto Commands = Policy.decide(Now);
-    const std::chrono::duration<double, std::micro> Took =
-        std::chrono::steady_clock::now() - Began;
+    const std::chrono::duration<double, std::micro> Elapsed =
+        std::chrono::steady_clock::now() - DecisionStart;
     for (const Command &Each : Commands)
       if (const auto *Start = std::get_if<StartGang>(&Each)) {
         Policy.gangStarted(Start->Job, Start->Number, Now);
         Running.push_back(*Start);
       }
-    return Took.count();
+    return Elapsed.count();
   }
 
-  /// Ends the gang that began first.
-  void endOne() {
+  /// Ends the running gang that started first.
+  void endOldestGang() {
     if (Running.empty())
       return;
     const StartGang Gang = Running.front();
@@ -84,46 +85,46 @@
     Policy.gangEnded(Gang.Job, Gang.Number, End, Now);
   }
 
-  /// Ends the gang that began last.
-  void endLast() {
+  /// Ends the running gang that started last.
+  void endNewestGang() {
     if (!Running.empty())
       std::rotate(Running.begin(), Running.end() - 1, Running.end());
-    endOne();
+    endOldestGang();
   }
 
 private:
   Scheduler Policy;
   Instant Now{Milliseconds(1000000)};
-  std::uint64_t Next = 0;
+  std::uint64_t NextJob = 0;
   std::deque<StartGang> Running;
 };
 
-void report(benchmark::State &State, std::vector<double> Times) {
-  std::sort(Times.begin(), Times.end());
-  State.counters["p50_us"] = Times[Times.size() / 2];
-  State.counters["p99_us"] = Times[Times.size() * 99 / 100];
+void report(benchmark::State &State, std::vector<double> TimesUs) {
+  std::sort(TimesUs.begin(), TimesUs.end());
+  State.counters["p50_us"] = TimesUs[TimesUs.size() / 2];
+  State.counters["p99_us"] = TimesUs[TimesUs.size() * 99 / 100];
 }
 
 void decideOneJob(benchmark::State &State) {
-  Cell Site(static_cast<int>(State.range(0)));
-  std::vector<double> Times;
+  BusyCell Cell(static_cast<int>(State.range(0)));
+  std::vector<double> TimesUs;
   for (auto Each : State) {
     (void)Each;
-    Site.endOne();
-    Times.push_back(Site.submit(1, 1));
+    Cell.endOldestGang();
+    TimesUs.push_back(Cell.submit(1, 1));
   }
-  report(State, std::move(Times));
+  report(State, std::move(TimesUs));
 }
 
 void decideWidestGang(benchmark::State &State) {
-  Cell Site(static_cast<int>(State.range(0)));
-  std::vector<double> Times;
+  BusyCell Cell(static_cast<int>(State.range(0)));
+  std::vector<double> TimesUs;
   for (auto Each : State) {
     (void)Each;
-    Times.push_back(Site.submit(1024, 1));
-    Site.endLast();
+    TimesUs.push_back(Cell.submit(1024, 1));
+    Cell.endNewestGang();
   }
-  report(State, std::move(Times));
+  report(State, std::move(TimesUs));
 }
 
 } // namespace
--- a/scripts/build.sh
+++ b/scripts/build.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Configures and builds into the folder build.
+# Configures the project and builds it in the folder build.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cmake -S . -B build -G Ninja >/dev/null
--- a/scripts/chaos.sh
+++ b/scripts/chaos.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Runs a random schedule of faults over real processes: chaos.sh --seed N
-# --minutes M. The same seed draws the same faults.
+# Runs the chaos test, which injects random faults into a deployment of real
+# processes: chaos.sh --seed N --minutes M. The same seed selects the same
+# sequence of faults.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seed=1
--- a/scripts/check-format.sh
+++ b/scripts/check-format.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fails when a source file differs from what clang-format makes of it.
+# Fails when a C++ source file is not formatted by clang-format.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 git ls-files '*.cpp' '*.h' ':!generated' | xargs clang-format --dry-run --Werror
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Builds, starts a small deployment on the loopback address, and shows answers
-# to requests, a gang job and a change of configuration. With --keep, leaves it
-# up and prints commands to try.
+# Builds, starts a small deployment on the loopback address, then sends requests,
+# runs a gang job and changes the configuration. With --keep, leaves the
+# deployment running and prints commands to try.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 ROOT=$PWD
@@ -47,7 +47,8 @@
 ENTRY_2=$(ready_value entry-2 http)
 ENTRIES="$ENTRY_1,$ENTRY_2"
 
-agent() { # NAME KIND TARGET EXTRA
+# start_agent NAME KIND TARGET SETTING: SETTING is one more line of settings.
+start_agent() {
   cat >"$RUN/$1.yaml" <<EOF
 node: $1
 place: fukuoka
@@ -63,11 +64,11 @@
 }
 for n in 1 2 3; do
   start_program "minion-$n" "$BIN/standin-minion"
-  agent "planner-$n" minion "$(ready_value "minion-$n" http)" "service: bench-planner"
+  start_agent "planner-$n" minion "$(ready_value "minion-$n" http)" "service: bench-planner"
 done
 for n in 1 2 3 4; do
   start_program "worker-$n" "$BIN/standin-worker"
-  agent "bench-$n" worker "$(ready_value "worker-$n" http)" "accelerators: 8"
+  start_agent "bench-$n" worker "$(ready_value "worker-$n" http)" "accelerators: 8"
 done
 
 mkdir "$RUN/config"
@@ -88,11 +89,13 @@
       - {count: 2, accelerators: 8}
 EOF
 wait_until 10 ctl config apply "$RUN/config" || true
-everyone_at() {
+# all_members_at VERSION: all seven agents and an entry have that version of the
+# configuration.
+all_members_at() {
   [ "$(ctl member list | grep -cE "(MINION|WORKER) .* $1 +false ")" -ge 7 ] &&
     ctl member list | grep -qE "ENTRY .* $1 +false "
 }
-wait_until 15 everyone_at 1
+wait_until 15 all_members_at 1
 
 sent=0
 answered=0
@@ -106,9 +109,9 @@
     key=(-H "Idempotency-Key: demo-$n")
   fi
   sent=$((sent + 1))
-  answer=$(curl -s -H "Authorization: Bearer $CALLER" -H "X-Idempotent: $idempotent" \
+  response=$(curl -s -H "Authorization: Bearer $CALLER" -H "X-Idempotent: $idempotent" \
     "${key[@]}" --data "cut plan $n" "http://$entry/v1/services/bench-planner/requests" || true)
-  [ "$answer" = "answer:cut plan $n" ] && answered=$((answered + 1))
+  [ "$response" = "answer:cut plan $n" ] && answered=$((answered + 1))
 done
 
 job=$(caller --output=json --name=cut-plan --tasks=4 --accelerators=4 \
@@ -121,28 +124,28 @@
 ctl config diff "$RUN/config" >"$RUN/diff.txt"
 ctl config apply "$RUN/config" >"$RUN/apply.txt"
 version=0
-wait_until 10 everyone_at 2 && version=2
+wait_until 10 all_members_at 2 && version=2
 
 echo
 echo "== members"
 ctl member list
 echo
-echo "== requests: $answered of $sent answered to their caller"
+echo "== requests: $answered of $sent answered"
 echo
 echo "== job"
 cat "$RUN/job.txt"
 echo
-echo "== change of configuration"
+echo "== configuration change"
 cat "$RUN/diff.txt" "$RUN/apply.txt"
 if $KEEP; then
   cat <<EOF
 
-The deployment is up. Try, in another shell:
+The deployment is running. Try, in another shell:
   curl -H 'Authorization: Bearer $CALLER' --data hello http://$ENTRY_1/v1/services/bench-planner/requests
   $BIN/baobabctl --entry=$ENTRIES --token=$CALLER --tasks=2 --accelerators=8 --payload=work_ms=5000 job submit
   $BIN/baobabctl --entry=$ENTRIES --token=$OPERATOR worker list
   $BIN/baobabctl --entry=$ENTRIES --token=$OPERATOR state
-The operators' folder is $RUN/config. Press Enter to stop everything.
+The configuration folder is $RUN/config. Press Enter to stop the deployment.
 EOF
   read -r _
 fi
--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what the build and the tests need on Debian 12.
+# Installs the packages that the build and the tests need on Debian 12.
 set -euo pipefail
 packages="g++ cmake ninja-build pkg-config clang-format clang-tidy curl \
   libpoco-dev libgrpc++-dev libprotobuf-dev libabsl-dev liblog4cplus-dev \
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,12 +1,13 @@
-# Functions that the scripts share. Source it with BUILD set to the build
-# folder.
+# Functions shared by the scripts. Source it with RUN set to a folder for the
+# output and process ids of programs.
 
-# Starts a program in the background and waits for its "ready" line, which is
-# left in $RUN/NAME.ready. Its process id is left in $RUN/NAME.pid.
+# start_program NAME COMMAND...: starts a program in the background and waits up
+# to 15 s for its "ready" line, which is kept in $RUN/NAME.ready. Its process id
+# is kept in $RUN/NAME.pid. Fails and prints its log when it does not get ready.
 start_program() {
   local name="$1"
   shift
-  # The line of an earlier program of that name must not be taken for its own.
+  # Clears the ready line of an earlier program of the same name.
   : >"$RUN/$name.ready"
   "$@" >"$RUN/$name.ready" 2>"$RUN/$name.log" &
   echo $! >"$RUN/$name.pid"
@@ -22,12 +23,12 @@
   done
 }
 
-# Prints the value of a key of a program's ready line.
+# ready_value NAME KEY: prints the value of a key of a program's ready line.
 ready_value() {
   grep '^ready' "$RUN/$1.ready" | tr ' ' '\n' | sed -n "s/^$2=//p"
 }
 
-# Asks a program to stop and waits until it has.
+# stop_program NAME: sends SIGTERM to a program and waits until it has exited.
 stop_program() {
   local pid
   [ -f "$RUN/$1.pid" ] || return 0
@@ -36,13 +37,14 @@
   wait "$pid" 2>/dev/null || true
 }
 
-# Repeats a command until it succeeds, at most for the given seconds.
+# wait_until SECONDS COMMAND...: repeats a command until it succeeds. Fails after
+# the given time.
 wait_until() {
   local limit=$(($(date +%s) + $1))
   shift
   until "$@" >/dev/null 2>&1; do
     if [ "$(date +%s)" -ge "$limit" ]; then
-      echo "Gave up waiting for: $*" >&2
+      echo "Timed out waiting for: $*" >&2
       return 1
     fi
     sleep 0.1
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs clang-tidy over our own sources, several at a time.
+# Runs clang-tidy in parallel on all C++ sources that are not generated.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 git ls-files '*.cpp' ':!generated' |
--- a/scripts/measure-capacity.sh
+++ b/scripts/measure-capacity.sh
@@ -1,6 +1,8 @@
 #!/usr/bin/env bash
-# Measures slopes with the real daemons on this machine and prints JSON lines,
-# then a fitted slope for each: value = base + slope * size.
+# Measures how processor time, memory, store calls and delays of the real daemons
+# grow with the load and the size of a deployment on this machine. Prints a JSON
+# line for each measurement, then a linear fit for each metric: value = base +
+# slope * size.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/build.sh >/dev/null
@@ -23,17 +25,19 @@
 trap 'stop_everything; rm -rf "$RUN"' EXIT
 
 state() { curl -s -H "Authorization: Bearer $TOKEN" "http://$1/v1/state"; }
-# field ADDRESS KEY: a number of the state dump.
+# field ADDRESS KEY: prints a number of a process's state dump.
 field() { state "$1" | tr ',{}' '\n' | sed -n "s/^\"$2\"://p" | head -n 1; }
 counters() { curl -s "http://$(ready_value store control)/" | tr -d '{}"' | tr ',' ' '; }
+# stored KEY: prints a counter of the store: reads, writes or watches.
 stored() { counters | tr ' ' '\n' | sed -n "s/^$1://p"; }
 
-# knows_workers COUNT: the coordinator decides for that many workers.
+# knows_workers COUNT: the coordinator is active and knows that many workers.
 knows_workers() {
   state "$ENTRY" | grep -q "\"stage\":\"deciding\".*\"workers_known\":$1[,}]"
 }
 
-deploy() { # MINIONS
+# deploy MINIONS: starts a store, an entry, and that many minions with agents.
+deploy() {
   start_program store "$BIN/standin-store"
   cat >"$RUN/entry.yaml" <<EOF
 node: entry-1
@@ -71,11 +75,13 @@
   sleep 1
 }
 
-# record METRIC SIZE VALUE UNIT
+# record METRIC SIZE VALUE UNIT: prints a measurement and keeps it for the fit.
 record() {
   echo "{\"metric\":\"$1\",\"size\":$2,\"value\":$3,\"unit\":\"$4\"}" | tee -a "$OUT"
 }
-share() { awk "BEGIN{printf \"%.3f\", ($2-$1)/(10*$SECONDS_EACH)}"; }
+# processor_percent BEFORE AFTER: prints the processor use, given the processor
+# time in ms before and after $SECONDS_EACH seconds.
+processor_percent() { awk "BEGIN{printf \"%.3f\", ($2-$1)/(10*$SECONDS_EACH)}"; }
 
 deploy 2
 for rate in 100 200 400 800; do
@@ -84,9 +90,9 @@
   load=$("$BIN/baobabcove-load" --address="$ENTRY" --path=/v1/services/bench/requests \
     --token=$CALLER --threads=16 --rate=$rate --seconds="$SECONDS_EACH")
   record entry_processor_percent_by_requests_per_s $rate \
-    "$(share "$before" "$(field "$ENTRY" processor_ms)")" percent
+    "$(processor_percent "$before" "$(field "$ENTRY" processor_ms)")" percent
   record agent_processor_percent_by_requests_per_s $rate \
-    "$(share "$agent_before" "$(field "$(ready_value agent-1 http)" processor_ms)")" percent
+    "$(processor_percent "$agent_before" "$(field "$(ready_value agent-1 http)" processor_ms)")" percent
   record request_p50_by_requests_per_s $rate \
     "$(echo "$load" | sed 's/.*"p50_ms":\([0-9.]*\).*/\1/')" ms
   record entry_memory_by_requests_per_s $rate "$(field "$ENTRY" resident_kib)" KiB
@@ -103,9 +109,9 @@
 reads=$(stored reads)
 writes=$(stored writes)
 sleep "$SECONDS_EACH"
-record entry_processor_percent_idle 2 "$(share "$before" "$(field "$ENTRY" processor_ms)")" percent
+record entry_processor_percent_idle 2 "$(processor_percent "$before" "$(field "$ENTRY" processor_ms)")" percent
 record agent_processor_percent_idle 1 \
-  "$(share "$agent_before" "$(field "$(ready_value agent-1 http)" processor_ms)")" percent
+  "$(processor_percent "$agent_before" "$(field "$(ready_value agent-1 http)" processor_ms)")" percent
 record agent_memory_idle 1 "$(field "$(ready_value agent-1 http)" resident_kib)" KiB
 record store_reads_per_s_idle 1 "$(awk "BEGIN{print ($(stored reads)-$reads)/$SECONDS_EACH}")" reads/s
 record store_writes_per_s_idle 1 "$(awk "BEGIN{print ($(stored writes)-$writes)/$SECONDS_EACH}")" writes/s
@@ -121,7 +127,7 @@
   bytes=$(curl -s "http://$(ready_value proxy control)/" | sed 's/.*"bytes":\([0-9]*\).*/\1/')
   sleep "$SECONDS_EACH"
   record entry_processor_percent_by_workers $workers \
-    "$(share "$before" "$(field "$ENTRY" processor_ms)")" percent
+    "$(processor_percent "$before" "$(field "$ENTRY" processor_ms)")" percent
   record entry_memory_by_workers $workers "$(field "$ENTRY" resident_kib)" KiB
   after=$(curl -s "http://$(ready_value proxy control)/" | sed 's/.*"bytes":\([0-9]*\).*/\1/')
   record heartbeat_bytes_by_workers $workers \
@@ -129,20 +135,21 @@
   stop_everything
 done
 
-# The coordinator is killed and replaced; its successor must wait for the old
-# lease, then hear every worker and ask it for its parts.
+# Measures the takeover after the coordinator is killed: its successor waits for
+# the old lease to expire, receives a heartbeat from every worker, and asks each
+# for its parts.
 for workers in 32 64 128 256; do
   deploy 0
   start_program proxy "$BIN/standin-proxy" --target="$(ready_value entry rpc)"
   start_program fleet "$BIN/standin-fleet" --entry="$(ready_value proxy listen)" --workers=$workers --parts=4
   wait_until 20 knows_workers $workers
   kill -KILL "$(cat "$RUN/entry.pid")"
-  began=$(date +%s%3N)
+  start=$(date +%s%3N)
   start_program entry "$BIN/baobabcove-entry" --settings="$RUN/entry.yaml"
   ENTRY=$(ready_value entry http)
   curl -s "http://$(ready_value proxy control)/target?to=$(ready_value entry rpc)" >/dev/null
   wait_until 30 knows_workers $workers
-  record takeover_by_workers $workers $(($(date +%s%3N) - began)) ms
+  record takeover_by_workers $workers $(($(date +%s%3N) - start)) ms
   stop_everything
 done
 
@@ -154,9 +161,9 @@
   for n in $(seq 1 $workspaces); do
     echo "workspaces: {w$n: {tokens: [$("$BIN/baobabctl" digest "w$n")], max_requests: 100}}"
   done | split -l 1 -a 4 --additional-suffix=.yaml - "$RUN/many/w-"
-  began=$(date +%s%3N)
+  start=$(date +%s%3N)
   "$BIN/baobabctl" --entry="$ENTRY" --token=$TOKEN config apply "$RUN/many" >/dev/null
-  record apply_time_by_workspaces $workspaces $(($(date +%s%3N) - began)) ms
+  record apply_time_by_workspaces $workspaces $(($(date +%s%3N) - start)) ms
   sleep 1
   record entry_memory_growth_by_workspaces $workspaces \
     $(($(field "$ENTRY" resident_kib) - before)) KiB
@@ -165,7 +172,7 @@
 done
 
 echo
-echo "Fitted slopes (value = base + slope * size):"
+echo "Linear fits (value = base + slope * size):"
 awk -F'[:,"}]+' '
   /"metric"/ { n[$3]++; x=$5; y=$7; sx[$3]+=x; sy[$3]+=y; sxx[$3]+=x*x; sxy[$3]+=x*y; u[$3]=$9 }
   END { for (m in n) if (n[m] > 1) {
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs packages, builds, and runs every test but the known-red ones.
+# Installs packages, builds, and runs all tests except those in KNOWN-RED.txt.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/install-packages.sh
--- a/standins/Journal.h
+++ b/standins/EventJournal.h
@@ -1,9 +1,5 @@
-/// \file
-/// The journal of what a stand-in ran, a line for each event, kept in a file
-/// so that it outlives the process.
-
-#ifndef BAOBABCOVE_STANDINS_JOURNAL_H
-#define BAOBABCOVE_STANDINS_JOURNAL_H
+#ifndef BAOBABCOVE_STANDINS_EVENTJOURNAL_H
+#define BAOBABCOVE_STANDINS_EVENTJOURNAL_H
 
 #include "baobabcove/Clock.h"
 
@@ -13,10 +9,12 @@
 
 namespace baobabcove::standins {
 
-/// Appends "time-ms event name detail" lines. Thread-safe.
-class Journal {
+/// Appends a line "time-ms event name detail" to a file for each thing that a
+/// stand-in ran. Tests read the file, also after the process was killed. An
+/// empty path disables the journal. Thread-safe.
+class EventJournal {
 public:
-  explicit Journal(const std::string &Path) {
+  explicit EventJournal(const std::string &Path) {
     if (!Path.empty())
       Out.open(Path, std::ios::app);
   }
@@ -36,4 +34,4 @@
 
 } // namespace baobabcove::standins
 
-#endif // BAOBABCOVE_STANDINS_JOURNAL_H
+#endif // BAOBABCOVE_STANDINS_EVENTJOURNAL_H
--- a/standins/FleetMain.cpp
+++ b/standins/FleetMain.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Speaks the agents' protocol for many workers at once, to measure what they
-/// cost an entry and the coordinator. Its tasks are numbers only.
+/// Simulates the agents of many workers, to measure the load that they put on
+/// an entry and the coordinator. The reported parts run no tasks.
 
 #include "base/Signals.h"
 #include "rpc/Rpc.h"
@@ -13,20 +13,21 @@
 #include <absl/flags/parse.h>
 
 ABSL_FLAG(std::string, entry, "", "rpc address of an entry");
-ABSL_FLAG(int, workers, 16, "workers to announce");
-ABSL_FLAG(int, parts, 0, "running parts that each worker reports");
+ABSL_FLAG(int, workers, 16, "number of simulated workers");
+ABSL_FLAG(int, parts, 0, "gang parts that each worker reports");
 ABSL_FLAG(int, period_ms, 500, "heartbeat period, ms");
 
 namespace baobabcove::standins {
 namespace {
 
-constexpr Milliseconds Patience{2000};
+constexpr Milliseconds HeartbeatTimeout{2000};
 constexpr int WorkersPerThread = 32;
 constexpr int WorkersPerRack = 3;
-constexpr std::uint32_t WorkerSize = 8;
+constexpr std::uint32_t AcceleratorsPerWorker = 8;
 
-/// Answers inventories; takes no gangs.
-class Fleet : public AgentHandler {
+/// Answers inventory requests with an empty inventory and refuses gangs with
+/// NoCapacity.
+class SimulatedAgents : public AgentHandler {
 public:
   wire::ExecuteReply execute(const wire::ExecuteRequest &) override {
     return {};
@@ -54,57 +55,64 @@
   }
 };
 
-wire::Heartbeat beatOf(int Number, const std::string &Address) {
-  wire::Heartbeat Beat;
-  Beat.set_node("fleet-" + std::to_string(Number));
-  Beat.set_incarnation(1);
-  Beat.set_kind(wire::WORKER);
-  Beat.set_rpc_address(Address);
-  Beat.set_configuration_version(UINT64_MAX);
-  Beat.mutable_location()->set_place("a");
-  Beat.mutable_location()->set_data_centre("a-1");
-  Beat.mutable_location()->set_rack("r" +
-                                    std::to_string(Number / WorkersPerRack));
-  Beat.mutable_worker()->set_accelerators(WorkerSize);
-  Beat.mutable_worker()->set_cores(30);
-  Beat.mutable_worker()->set_memory_mb(130000);
+/// Returns the heartbeat of the worker \p Number. Its configuration version is
+/// the highest one, so that no entry sends it a configuration.
+wire::Heartbeat makeHeartbeat(int Number, const std::string &Address) {
+  wire::Heartbeat Message;
+  Message.set_node("fleet-" + std::to_string(Number));
+  Message.set_incarnation(1);
+  Message.set_kind(wire::WORKER);
+  Message.set_rpc_address(Address);
+  Message.set_configuration_version(UINT64_MAX);
+  Message.mutable_location()->set_place("a");
+  Message.mutable_location()->set_data_centre("a-1");
+  Message.mutable_location()->set_rack("r" +
+                                       std::to_string(Number / WorkersPerRack));
+  Message.mutable_worker()->set_accelerators(AcceleratorsPerWorker);
+  Message.mutable_worker()->set_cores(30);
+  Message.mutable_worker()->set_memory_mb(130000);
   for (int I = 0; I < absl::GetFlag(FLAGS_parts); ++I) {
-    wire::GangPart &Part = *Beat.mutable_worker()->add_parts();
+    wire::GangPart &Part = *Message.mutable_worker()->add_parts();
     Part.set_job("fleet-" + std::to_string(Number) + "-" + std::to_string(I));
     Part.set_attempt(1);
     Part.set_phase(wire::RESERVED);
     Part.set_accelerators(1);
   }
-  return Beat;
+  return Message;
 }
 
-void announce(int From, int Until, const std::string &Address) {
-  // One connection for each worker, as real agents have.
+/// Sends the heartbeats of the workers [\p FirstWorker, \p EndWorker) in every
+/// period, forever.
+void sendHeartbeats(int FirstWorker, int EndWorker,
+                    const std::string &Address) {
+  // Each worker has a connection of its own, as real agents have.
   std::vector<std::unique_ptr<RpcPeers>> Connections;
-  std::vector<wire::Heartbeat> Beats;
-  for (int I = From; I < Until; ++I) {
+  std::vector<wire::Heartbeat> Messages;
+  for (int I = FirstWorker; I < EndWorker; ++I) {
     Connections.push_back(std::make_unique<RpcPeers>());
-    Beats.push_back(beatOf(I, Address));
+    Messages.push_back(makeHeartbeat(I, Address));
   }
   const Milliseconds Period(absl::GetFlag(FLAGS_period_ms));
   for (;;) {
-    const Instant Began = monotonicNow();
-    for (std::size_t I = 0; I < Beats.size(); ++I)
-      (void)Connections[I]->beat(absl::GetFlag(FLAGS_entry), Beats[I],
-                                 Patience);
-    std::this_thread::sleep_until(Began + Period);
+    const Instant Start = monotonicNow();
+    for (std::size_t I = 0; I < Messages.size(); ++I)
+      (void)Connections[I]->beat(absl::GetFlag(FLAGS_entry), Messages[I],
+                                 HeartbeatTimeout);
+    std::this_thread::sleep_until(Start + Period);
   }
 }
 
 int run() {
   blockSignals();
-  Fleet Mine;
-  auto Server = serveRpc("127.0.0.1:0", nullptr, &Mine);
+  SimulatedAgents Agents;
+  auto Server = serveRpc("127.0.0.1:0", nullptr, &Agents);
   if (!Server)
     return 1;
   const int Workers = absl::GetFlag(FLAGS_workers);
-  for (int From = 0; From < Workers; From += WorkersPerThread)
-    std::thread(announce, From, std::min(Workers, From + WorkersPerThread),
+  for (int FirstWorker = 0; FirstWorker < Workers;
+       FirstWorker += WorkersPerThread)
+    std::thread(sendHeartbeats, FirstWorker,
+                std::min(Workers, FirstWorker + WorkersPerThread),
                 (*Server)->address())
         .detach();
   std::cout << "ready rpc=" << (*Server)->address() << std::endl;
--- a/standins/MinionMain.cpp
+++ b/standins/MinionMain.cpp
@@ -1,9 +1,9 @@
 /// \file
-/// Stand-in of a minion: an HTTP back end that answers each request with its
-/// own text after a while, and can be told to turn slow, refuse, answer
-/// garbage or drain.
+/// Stand-in of a minion: an HTTP back end that echoes each request after a
+/// simulated work time. Control requests make it slow, make it refuse requests,
+/// return malformed responses, or drain.
 
-#include "Journal.h"
+#include "EventJournal.h"
 #include "base/Signals.h"
 #include "http/HttpServer.h"
 
@@ -15,91 +15,96 @@
 #include <absl/flags/parse.h>
 
 ABSL_FLAG(std::string, address, "127.0.0.1:0", "ip:port to serve on");
-ABSL_FLAG(std::string, journal, "", "file that lists what was run");
-ABSL_FLAG(int, work_ms, 5, "time that a request takes");
-ABSL_FLAG(int, slots, 8, "requests that may run at once");
+ABSL_FLAG(std::string, journal, "",
+          "file to which the requests that ran are appended");
+ABSL_FLAG(int, work_ms, 5, "work time of a request, ms");
+ABSL_FLAG(int, slots, 8, "maximum number of concurrent requests");
 
 namespace baobabcove::standins {
 namespace {
 
-constexpr int Unavailable = 503;
+constexpr int HttpUnavailable = 503;
 
-class Minion {
+class SimulatedMinion {
 public:
-  Minion()
-      : Ran(absl::GetFlag(FLAGS_journal)),
+  SimulatedMinion()
+      : Events(absl::GetFlag(FLAGS_journal)),
         WorkMs(absl::GetFlag(FLAGS_work_ms)) {}
 
-  HttpResponse answer(const HttpRequest &Request) {
+  /// Serves health checks, requests to run, and control requests.
+  HttpResponse handle(const HttpRequest &Request) {
     if (Request.Path == "/health")
-      return status(Draining ? Unavailable : 200);
+      return emptyResponse(Draining ? HttpUnavailable : 200);
     if (Request.Path == "/run")
-      return run(Request);
-    return order(Request);
+      return runRequest(Request);
+    return applyControl(Request);
   }
 
 private:
-  static HttpResponse status(int Code) {
+  static HttpResponse emptyResponse(int Status) {
     HttpResponse Response;
-    Response.Status = Code;
+    Response.Status = Status;
     Response.Body = "{}";
     return Response;
   }
 
-  HttpResponse run(const HttpRequest &Request) {
-    if (Refusing || InFlight >= absl::GetFlag(FLAGS_slots))
-      return status(Unavailable);
+  HttpResponse runRequest(const HttpRequest &Request) {
+    if (Refuse || InFlight >= absl::GetFlag(FLAGS_slots))
+      return emptyResponse(HttpUnavailable);
     ++InFlight;
     const std::string Name =
         Request.header("x-workspace") + "/" + Request.header("x-request-id");
-    Ran.write("run", Name, Request.Body.substr(0, 64));
-    std::this_thread::sleep_for(Milliseconds(workOf(Request.Body)));
-    Ran.write("done", Name, "-");
+    Events.write("run", Name, Request.Body.substr(0, 64));
+    std::this_thread::sleep_for(Milliseconds(workMsOf(Request.Body)));
+    Events.write("done", Name, "-");
     --InFlight;
     HttpResponse Response;
     Response.Body = "answer:" + Request.Body;
     Response.ContentType = "text/plain";
-    if (Garbage)
+    // Announces more bytes than are sent.
+    if (InvalidLength)
       Response.Headers["Content-Length"] = "999999";
     return Response;
   }
 
-  /// A request may say itself how long it takes: "... work=250".
-  int workOf(const std::string &Body) const {
-    const std::size_t At = Body.find("work=");
-    return At == std::string::npos ? WorkMs.load()
-                                   : std::atoi(Body.c_str() + At + 5);
+  /// Returns the work time of a request in ms: the number after "work=" in its
+  /// body, or else the configured time.
+  int workMsOf(const std::string &Body) const {
+    const std::size_t Found = Body.find("work=");
+    return Found == std::string::npos ? WorkMs.load()
+                                      : std::atoi(Body.c_str() + Found + 5);
   }
 
-  HttpResponse order(const HttpRequest &Request) {
-    const bool On = Request.query("on") != "false";
+  /// Switches a fault on or off; returns 404 for an unknown path.
+  HttpResponse applyControl(const HttpRequest &Request) {
+    const bool Enabled = Request.query("on") != "false";
     if (Request.Path == "/order/slow")
       WorkMs = std::stoi(Request.query("ms"));
     else if (Request.Path == "/order/refuse")
-      Refusing = On;
+      Refuse = Enabled;
     else if (Request.Path == "/order/garbage")
-      Garbage = On;
+      InvalidLength = Enabled;
     else if (Request.Path == "/order/drain")
-      Draining = On;
+      Draining = Enabled;
     else
-      return status(404);
-    return status(200);
+      return emptyResponse(404);
+    return emptyResponse(200);
   }
 
-  Journal Ran;
+  EventJournal Events;
   std::atomic<int> WorkMs;
   std::atomic<int> InFlight{0};
-  std::atomic<bool> Refusing{false};
-  std::atomic<bool> Garbage{false};
+  std::atomic<bool> Refuse{false};
+  std::atomic<bool> InvalidLength{false};
   std::atomic<bool> Draining{false};
 };
 
 int serve() {
   blockSignals();
-  Minion Mine;
+  SimulatedMinion Minion;
   auto Server = serveHttp(
       absl::GetFlag(FLAGS_address), HttpLimits(),
-      [&](const HttpRequest &Request) { return Mine.answer(Request); });
+      [&](const HttpRequest &Request) { return Minion.handle(Request); });
   if (!Server)
     return 1;
   std::cout << "ready http=" << (*Server)->address() << std::endl;
--- a/standins/ProxyMain.cpp
+++ b/standins/ProxyMain.cpp
@@ -1,8 +1,8 @@
 /// \file
-/// A TCP proxy between two processes that injects faults by order: delay,
-/// cutting of connections, refusal of new ones, and silence for good. Callers
-/// that name themselves by process id can be silenced apart from others, which
-/// cuts regions from each other.
+/// A TCP proxy that injects network faults on request: it delays data, closes
+/// connections, refuses new ones, or keeps connections open without forwarding.
+/// It can also stop forwarding for single clients, selected by process id,
+/// which partitions regions from each other.
 
 #include "baobabcove/Clock.h"
 #include "base/Signals.h"
@@ -28,7 +28,8 @@
 
 ABSL_FLAG(std::string, listen, "127.0.0.1:0", "ip:port to listen on");
 ABSL_FLAG(std::string, target, "", "ip:port to connect to");
-ABSL_FLAG(std::string, control, "127.0.0.1:0", "ip:port for orders of tests");
+ABSL_FLAG(std::string, control, "127.0.0.1:0",
+          "ip:port for control requests of tests");
 
 namespace baobabcove::standins {
 namespace {
@@ -36,24 +37,28 @@
 constexpr std::size_t BlockBytes = 65536;
 constexpr Poco::Timespan::TimeDiff PollUs = 20000;
 
-struct Orders {
+/// Injected faults and counters. Connections are numbered from 1 as they open.
+struct ProxyState {
   std::atomic<int> DelayMs{0};
-  std::atomic<bool> Refuse{false};
-  /// Connections opened up to this number stay silent for good.
+  std::atomic<bool> RefuseNew{false};
+  /// Connections up to this number stay open, but nothing is forwarded.
   std::atomic<std::uint64_t> SilentUpTo{0};
-  std::atomic<std::uint64_t> CutUpTo{0};
+  /// Connections up to this number are closed.
+  std::atomic<std::uint64_t> CloseUpTo{0};
   std::atomic<std::uint64_t> Opened{0};
   std::atomic<std::uint64_t> Bytes{0};
 };
 
-Orders Given;
+ProxyState State;
 
-/// Where connections go; it may be told after the start.
-class Target {
+/// The address to which connections are forwarded. It may be set after the
+/// start, since a process behind the proxy may learn its address late.
+/// Thread-safe.
+class ForwardingTarget {
 public:
-  void set(const std::string &To) {
+  void set(const std::string &NewAddress) {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    Address = To;
+    Address = NewAddress;
   }
   std::string address() {
     const std::lock_guard<std::mutex> Lock(Mutex);
@@ -65,46 +70,50 @@
   std::string Address;
 };
 
-Target Told;
+ForwardingTarget Target;
 
-/// Processes that nothing is carried for.
-class Barred {
+/// Ids of the client processes for which nothing is forwarded. Thread-safe.
+class BlockedClients {
 public:
+  /// \p List holds process ids separated by commas.
   void set(const std::string &List) {
-    std::set<std::string> Fresh;
+    std::set<std::string> NewIds;
     std::istringstream In(List);
     for (std::string Id; std::getline(In, Id, ',');)
-      Fresh.insert(Id);
+      NewIds.insert(Id);
     const std::lock_guard<std::mutex> Lock(Mutex);
-    Ids = std::move(Fresh);
+    Ids = std::move(NewIds);
   }
 
-  /// Whether the caller of a connection is barred. \p Owner keeps its process
-  /// id once that had to be found.
-  bool has(const Poco::Net::StreamSocket &Caller, std::string &Owner) {
+  /// Returns whether the client of a connection is blocked. \p ClientId caches
+  /// its process id between calls; the id is looked up only when some process
+  /// is blocked.
+  bool blocks(const Poco::Net::StreamSocket &Client, std::string &ClientId) {
     {
       const std::lock_guard<std::mutex> Lock(Mutex);
       if (Ids.empty())
         return false;
     }
-    if (Owner.empty())
-      Owner = ownerOf(Caller);
+    if (ClientId.empty())
+      ClientId = processIdOf(Client);
     const std::lock_guard<std::mutex> Lock(Mutex);
-    return Ids.count(Owner) != 0;
+    return Ids.count(ClientId) != 0;
   }
 
 private:
-  /// The process at the other end of a connection within this machine, or an
-  /// empty text: the kernel lists the socket, and the process holds it open.
-  static std::string ownerOf(const Poco::Net::StreamSocket &Caller) {
-    std::string Inode = inodeOf(Caller, "/proc/net/tcp");
-    // Sockets of both families are listed apart.
+  /// Returns the id of the process at the other end of a connection within
+  /// this machine, or an empty string when it is not found. The kernel's socket
+  /// table gives the inode of the socket; the process has that inode among its
+  /// open files.
+  static std::string processIdOf(const Poco::Net::StreamSocket &Client) {
+    std::string Inode = inodeOf(Client, "/proc/net/tcp");
+    // IPv6 sockets, which may carry IPv4, are in a table of their own.
     if (Inode.empty())
-      Inode = inodeOf(Caller, "/proc/net/tcp6");
+      Inode = inodeOf(Client, "/proc/net/tcp6");
     if (Inode.empty())
       return {};
     for (const auto &Process : std::filesystem::directory_iterator("/proc"))
-      if (holds(Process.path(), "socket:[" + Inode + "]"))
+      if (hasSocketOpen(Process.path(), "socket:[" + Inode + "]"))
         return Process.path().filename();
     return {};
   }
@@ -115,28 +124,30 @@
            std::stoul(Address.substr(Colon + 1), nullptr, 16) == Port;
   }
 
-  /// Lines of the table: number, local address as hexadecimal ip:port, remote
-  /// address, state, queues, timer, retransmits, user, timeout, inode.
-  static std::string inodeOf(const Poco::Net::StreamSocket &Caller,
+  /// Returns the inode of the client's socket, or an empty string. A line of
+  /// the table at \p Path holds: number, local address as hexadecimal ip:port,
+  /// remote address, state, queues, timer, retransmits, user, timeout, inode.
+  static std::string inodeOf(const Poco::Net::StreamSocket &Client,
                              const std::string &Path) {
-    const std::uint16_t Theirs = Caller.peerAddress().port();
-    const std::uint16_t Ours = Caller.address().port();
+    const std::uint16_t ClientPort = Client.peerAddress().port();
+    const std::uint16_t ProxyPort = Client.address().port();
     std::ifstream Table(Path);
     std::string Line;
     std::getline(Table, Line);
     while (std::getline(Table, Line)) {
-      std::istringstream Fields(Line);
-      std::vector<std::string> Field(10);
-      for (std::string &Each : Field)
-        Fields >> Each;
-      if (endsWithPort(Field[1], Theirs) && endsWithPort(Field[2], Ours))
-        return Field[9];
+      std::istringstream LineStream(Line);
+      std::vector<std::string> Fields(10);
+      for (std::string &Each : Fields)
+        LineStream >> Each;
+      if (endsWithPort(Fields[1], ClientPort) &&
+          endsWithPort(Fields[2], ProxyPort))
+        return Fields[9];
     }
     return {};
   }
 
-  static bool holds(const std::filesystem::path &Process,
-                    const std::string &Socket) {
+  static bool hasSocketOpen(const std::filesystem::path &Process,
+                            const std::string &Socket) {
     std::error_code Failed;
     std::filesystem::directory_iterator Open(Process / "fd", Failed);
     if (Failed)
@@ -151,22 +162,23 @@
   std::set<std::string> Ids;
 };
 
-Barred Cut;
+BlockedClients Blocked;
 
-/// Bytes on their way, with the time at which they may arrive.
-struct Parcel {
-  Instant Due;
+/// Bytes received that are sent on at a later time.
+struct DelayedBlock {
+  Instant SendAt;
   std::string Bytes;
 };
 
-/// Carries one direction of one connection.
-class Pump {
+/// Forwards one direction of one connection.
+class Relay {
 public:
-  Pump(const Poco::Net::StreamSocket &From, const Poco::Net::StreamSocket &To)
+  Relay(const Poco::Net::StreamSocket &From, const Poco::Net::StreamSocket &To)
       : From(From), To(To) {}
 
-  /// Moves what is there; returns false when the direction has ended.
-  bool move() {
+  /// Receives the available bytes and sends the blocks that are due. Returns
+  /// false when the sender has closed and nothing is left to send.
+  bool forward() {
     bool Open = true;
     if (From.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) {
       std::string Block(BlockBytes, '\0');
@@ -174,110 +186,114 @@
           From.receiveBytes(Block.data(), static_cast<int>(Block.size()));
       Open = Count > 0;
       Block.resize(static_cast<std::size_t>(std::max(Count, 0)));
-      Given.Bytes += Block.size();
+      State.Bytes += Block.size();
       if (Open)
-        Parcels.push_back(
-            {monotonicNow() + Milliseconds(Given.DelayMs), std::move(Block)});
+        DelayedBlocks.push_back(
+            {monotonicNow() + Milliseconds(State.DelayMs), std::move(Block)});
     }
-    while (!Parcels.empty() && (Parcels.front().Due <= monotonicNow())) {
-      const std::string &Bytes = Parcels.front().Bytes;
+    while (!DelayedBlocks.empty() &&
+           (DelayedBlocks.front().SendAt <= monotonicNow())) {
+      const std::string &Bytes = DelayedBlocks.front().Bytes;
       std::size_t Sent = 0;
       while (Sent < Bytes.size())
         Sent += static_cast<std::size_t>(To.sendBytes(
             Bytes.data() + Sent, static_cast<int>(Bytes.size() - Sent)));
-      Parcels.pop_front();
+      DelayedBlocks.pop_front();
     }
-    return Open || !Parcels.empty();
+    return Open || !DelayedBlocks.empty();
   }
 
-  bool waiting() const { return !Parcels.empty(); }
+  bool hasPending() const { return !DelayedBlocks.empty(); }
 
 private:
   Poco::Net::StreamSocket From;
   Poco::Net::StreamSocket To;
-  std::deque<Parcel> Parcels;
+  std::deque<DelayedBlock> DelayedBlocks;
 };
 
-void carry(Poco::Net::StreamSocket Caller, std::uint64_t Number) {
+/// Forwards both directions of a connection until either ends or a fault
+/// closes it.
+void relayConnection(Poco::Net::StreamSocket Client, std::uint64_t Number) {
   try {
-    std::string Owner;
-    Poco::Net::StreamSocket Target;
-    Target.connect(Poco::Net::SocketAddress(Told.address()),
+    std::string ClientId;
+    Poco::Net::StreamSocket Server;
+    Server.connect(Poco::Net::SocketAddress(Target.address()),
                    Poco::Timespan(2, 0));
-    Caller.setNoDelay(true);
-    Target.setNoDelay(true);
-    Pump Forth(Caller, Target);
-    Pump Back(Target, Caller);
+    Client.setNoDelay(true);
+    Server.setNoDelay(true);
+    Relay ToServer(Client, Server);
+    Relay ToClient(Server, Client);
     bool Open = true;
-    while (Open && Number > Given.CutUpTo) {
-      if (Number <= Given.SilentUpTo || Cut.has(Caller, Owner)) {
+    while (Open && Number > State.CloseUpTo) {
+      if (Number <= State.SilentUpTo || Blocked.blocks(Client, ClientId)) {
         std::this_thread::sleep_for(Milliseconds(PollUs / 1000));
         continue;
       }
-      Poco::Net::Socket::SocketList Readable{Caller, Target};
+      Poco::Net::Socket::SocketList Readable{Client, Server};
       Poco::Net::Socket::SocketList None;
       Poco::Net::Socket::SocketList Failed;
-      const bool Hurry = Forth.waiting() || Back.waiting();
+      const bool Pending = ToServer.hasPending() || ToClient.hasPending();
       Poco::Net::Socket::select(Readable, None, Failed,
-                                Poco::Timespan(Hurry ? 1000 : PollUs));
-      if (Number <= Given.SilentUpTo)
+                                Poco::Timespan(Pending ? 1000 : PollUs));
+      if (Number <= State.SilentUpTo)
         continue;
-      Open = Forth.move() && Back.move();
+      Open = ToServer.forward() && ToClient.forward();
     }
-    Target.close();
+    Server.close();
   } catch (const Poco::Exception &) {
-    // Either end has gone; the other one sees its connection end.
+    // One end has closed its connection; closing the other one below tells it.
   }
-  Caller.close();
+  Client.close();
 }
 
-void accept(Poco::Net::ServerSocket &Listener) {
+void acceptConnections(Poco::Net::ServerSocket &Listener) {
   for (;;) {
-    Poco::Net::StreamSocket Caller = Listener.acceptConnection();
-    if (Given.Refuse) {
-      Caller.close();
+    Poco::Net::StreamSocket Client = Listener.acceptConnection();
+    if (State.RefuseNew) {
+      Client.close();
       continue;
     }
-    const std::uint64_t Number = ++Given.Opened;
-    std::thread(carry, Caller, Number).detach();
+    const std::uint64_t Number = ++State.Opened;
+    std::thread(relayConnection, Client, Number).detach();
   }
 }
 
-HttpResponse control(const HttpRequest &Request) {
-  const bool On = Request.query("on") != "false";
+HttpResponse handleControl(const HttpRequest &Request) {
+  const bool Enabled = Request.query("on") != "false";
   if (Request.Path == "/target")
-    Told.set(Request.query("to"));
+    Target.set(Request.query("to"));
   else if (Request.Path == "/delay")
-    Given.DelayMs = std::stoi(Request.query("ms"));
+    State.DelayMs = std::stoi(Request.query("ms"));
   else if (Request.Path == "/refuse")
-    Given.Refuse = On;
+    State.RefuseNew = Enabled;
   else if (Request.Path == "/cut")
-    Given.CutUpTo = Given.Opened.load();
+    State.CloseUpTo = State.Opened.load();
   else if (Request.Path == "/silence")
-    Given.SilentUpTo = On ? Given.Opened.load() : 0;
+    State.SilentUpTo = Enabled ? State.Opened.load() : 0;
   else if (Request.Path == "/silence_all")
-    Given.SilentUpTo = On ? UINT64_MAX : 0;
+    State.SilentUpTo = Enabled ? UINT64_MAX : 0;
   else if (Request.Path == "/bar")
-    Cut.set(Request.query("ids"));
+    Blocked.set(Request.query("ids"));
   HttpResponse Response;
-  Response.Body = "{\"opened\":" + std::to_string(Given.Opened) +
-                  ",\"bytes\":" + std::to_string(Given.Bytes) + "}";
+  Response.Body = "{\"opened\":" + std::to_string(State.Opened) +
+                  ",\"bytes\":" + std::to_string(State.Bytes) + "}";
   return Response;
 }
 
 int serve() {
   blockSignals();
-  Told.set(absl::GetFlag(FLAGS_target));
+  Target.set(absl::GetFlag(FLAGS_target));
   Poco::Net::ServerSocket Listener;
   Listener.bind(Poco::Net::SocketAddress(absl::GetFlag(FLAGS_listen)), true,
                 false);
   Listener.listen(256);
-  auto Control = serveHttp(absl::GetFlag(FLAGS_control), HttpLimits(), control);
+  auto Control =
+      serveHttp(absl::GetFlag(FLAGS_control), HttpLimits(), handleControl);
   if (!Control)
     return 1;
   std::cout << "ready listen=" << Listener.address().toString()
             << " control=" << (*Control)->address() << std::endl;
-  std::thread([&] { accept(Listener); }).detach();
+  std::thread([&] { acceptConnections(Listener); }).detach();
   waitForStop([] {});
   std::_Exit(0);
 }
--- a/standins/StoreMain.cpp
+++ b/standins/StoreMain.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// Stand-in of the platform's key-value store. A second address takes orders
-/// to be down, slow, or to lose answers after the change took effect.
+/// Stand-in of the platform's key-value store. Control requests at a second
+/// address make it unavailable or slow, or make it lose responses to writes
+/// that have taken effect.
 
 #include "StoreState.h"
 #include "base/HttpClient.h"
@@ -22,8 +23,9 @@
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 
-ABSL_FLAG(std::string, address, "127.0.0.1:0", "ip:port for the store's calls");
-ABSL_FLAG(std::string, control, "127.0.0.1:0", "ip:port for orders of tests");
+ABSL_FLAG(std::string, address, "127.0.0.1:0", "ip:port of the store's API");
+ABSL_FLAG(std::string, control, "127.0.0.1:0",
+          "ip:port for control requests of tests");
 
 namespace baobabcove::standins {
 namespace {
@@ -32,11 +34,11 @@
 constexpr Milliseconds ExpiryPeriod{50};
 constexpr int MaxThreads = 200;
 
-/// What the tests have ordered.
-struct Faults {
+/// Faults injected by tests, and counters of calls.
+struct FaultState {
   std::atomic<int> DelayMs{0};
-  /// Answers to writes that are still to be lost.
-  std::atomic<int> LoseAnswers{0};
+  /// Number of responses to writes that are still to be lost.
+  std::atomic<int> ResponsesToLose{0};
   std::atomic<bool> Down{false};
   std::atomic<std::uint64_t> Reads{0};
   std::atomic<std::uint64_t> Writes{0};
@@ -44,19 +46,23 @@
 };
 
 StoreState State;
-Faults Ordered;
-
-bool takeLoss() {
-  int Left = Ordered.LoseAnswers;
-  while (Left > 0)
-    if (Ordered.LoseAnswers.compare_exchange_weak(Left, Left - 1))
+FaultState Injected;
+
+/// Returns whether the response to this write is to be lost, and counts it as
+/// lost.
+bool takeLostResponse() {
+  int Remaining = Injected.ResponsesToLose;
+  while (Remaining > 0)
+    if (Injected.ResponsesToLose.compare_exchange_weak(Remaining,
+                                                       Remaining - 1))
       return true;
   return false;
 }
 
-/// Answers one call; returns false for an unknown path.
-bool answer(const std::string &Path, const std::string &Body,
-            std::string &Reply, bool &Write) {
+/// Handles one call. Stores the response in \p Reply and whether the call is
+/// a write in \p Write; returns false for an unknown path.
+bool handleCall(const std::string &Path, const std::string &Body,
+                std::string &Reply, bool &Write) {
   Write = Path != "/v3/kv/range";
   if (Path == "/v3/kv/range") {
     platform::RangeRequest Request;
@@ -95,21 +101,22 @@
                      Poco::Net::HTTPServerResponse &Response) override {
     std::string Body;
     Poco::StreamCopier::copyToString(Request.stream(), Body);
-    if (Ordered.DelayMs > 0)
-      std::this_thread::sleep_for(Milliseconds(Ordered.DelayMs));
+    if (Injected.DelayMs > 0)
+      std::this_thread::sleep_for(Milliseconds(Injected.DelayMs));
     if (Request.getURI() == "/v3/watch") {
       watch(Body, Response);
       return;
     }
     std::string Reply;
     bool Write = false;
-    if (!answer(Request.getURI(), Body, Reply, Write)) {
+    if (!handleCall(Request.getURI(), Body, Reply, Write)) {
       Response.setStatus(Poco::Net::HTTPResponse::HTTP_NOT_FOUND);
       Response.send();
       return;
     }
-    ++(Write ? Ordered.Writes : Ordered.Reads);
-    if (Write && takeLoss()) {
+    ++(Write ? Injected.Writes : Injected.Reads);
+    if (Write && takeLostResponse()) {
+      // The write has taken effect; the client sees a closed connection.
       dynamic_cast<Poco::Net::HTTPServerRequestImpl &>(Request)
           .socket()
           .shutdown();
@@ -122,14 +129,14 @@
 private:
   static void watch(const std::string &Body,
                     Poco::Net::HTTPServerResponse &Response) {
-    ++Ordered.Watches;
+    ++Injected.Watches;
     platform::WatchRequest Request;
     (void)fromJson(Body, Request);
     const auto &Create = Request.create_request();
     std::int64_t After = Create.start_revision() - 1;
     Response.setChunkedTransferEncoding(true);
     std::ostream &Out = Response.send();
-    while (Out && !Ordered.Down) {
+    while (Out && !Injected.Down) {
       platform::WatchMessage Message;
       for (const auto &Event : State.eventsAfter(
                Create.key(), Create.range_end(), After, ProgressPeriod))
@@ -140,7 +147,7 @@
   }
 };
 
-class Factory : public Poco::Net::HTTPRequestHandlerFactory {
+class HandlerFactory : public Poco::Net::HTTPRequestHandlerFactory {
 public:
   Poco::Net::HTTPRequestHandler *
   createRequestHandler(const Poco::Net::HTTPServerRequest &) override {
@@ -148,11 +155,15 @@
   }
 };
 
-/// The listener, which goes away while the store is down.
-class Listener {
+/// Listens for calls of the store's API; closed while the store is down.
+class StoreListener {
 public:
-  explicit Listener(const std::string &Address) : Address(Address) { open(); }
+  explicit StoreListener(const std::string &Address) : Address(Address) {
+    open();
+  }
 
+  /// Listens at the address. Port 0 is replaced by the port that was assigned,
+  /// so that the address stays the same when the store is opened again.
   void open() {
     Poco::Net::ServerSocket Socket;
     Socket.bind(Poco::Net::SocketAddress(Address), true, false);
@@ -162,8 +173,8 @@
     Params->setMaxThreads(MaxThreads);
     Params->setKeepAlive(true);
     Params->setMaxKeepAliveRequests(0);
-    Server = std::make_unique<Poco::Net::HTTPServer>(new Factory, Pool, Socket,
-                                                     Params);
+    Server = std::make_unique<Poco::Net::HTTPServer>(new HandlerFactory, Pool,
+                                                     Socket, Params);
     Server->start();
   }
 
@@ -180,31 +191,32 @@
   std::unique_ptr<Poco::Net::HTTPServer> Server;
 };
 
-HttpResponse control(const HttpRequest &Request, Listener &Calls) {
+HttpResponse handleControl(const HttpRequest &Request, StoreListener &Store) {
   HttpResponse Response;
-  if (Request.Path == "/down" && !Ordered.Down.exchange(true))
-    Calls.close();
-  else if (Request.Path == "/up" && Ordered.Down.exchange(false))
-    Calls.open();
+  if (Request.Path == "/down" && !Injected.Down.exchange(true))
+    Store.close();
+  else if (Request.Path == "/up" && Injected.Down.exchange(false))
+    Store.open();
   else if (Request.Path == "/slow")
-    Ordered.DelayMs = std::stoi(Request.query("ms"));
+    Injected.DelayMs = std::stoi(Request.query("ms"));
   else if (Request.Path == "/lose")
-    Ordered.LoseAnswers = std::stoi(Request.query("count"));
-  Response.Body = "{\"reads\":" + std::to_string(Ordered.Reads) +
-                  ",\"writes\":" + std::to_string(Ordered.Writes) +
-                  ",\"watches\":" + std::to_string(Ordered.Watches) + "}";
+    Injected.ResponsesToLose = std::stoi(Request.query("count"));
+  Response.Body = "{\"reads\":" + std::to_string(Injected.Reads) +
+                  ",\"writes\":" + std::to_string(Injected.Writes) +
+                  ",\"watches\":" + std::to_string(Injected.Watches) + "}";
   return Response;
 }
 
 int run() {
   blockSignals();
-  Listener Calls(absl::GetFlag(FLAGS_address));
-  auto Control = serveHttp(
-      absl::GetFlag(FLAGS_control), HttpLimits(),
-      [&](const HttpRequest &Request) { return control(Request, Calls); });
+  StoreListener Store(absl::GetFlag(FLAGS_address));
+  auto Control = serveHttp(absl::GetFlag(FLAGS_control), HttpLimits(),
+                           [&](const HttpRequest &Request) {
+                             return handleControl(Request, Store);
+                           });
   if (!Control)
     return 1;
-  std::cout << "ready store=" << Calls.address()
+  std::cout << "ready store=" << Store.address()
             << " control=" << (*Control)->address() << std::endl;
   std::thread([] {
     for (;;) {
--- a/standins/StoreState.cpp
+++ b/standins/StoreState.cpp
@@ -6,6 +6,7 @@
 
 namespace {
 
+/// Number of events kept for watches; the older half goes when it is exceeded.
 constexpr std::size_t MaxEvents = 200000;
 
 } // namespace
@@ -63,29 +64,29 @@
   const auto Found = Pairs.find(Key);
   if (Found == Pairs.end())
     return;
-  platform::KeyValue Gone;
-  Gone.set_key(Key);
+  platform::KeyValue Deleted;
+  Deleted.set_key(Key);
   Pairs.erase(Found);
-  emit("DELETE", Gone);
+  emit("DELETE", Deleted);
 }
 
 platform::TxnResponse
 StoreState::transact(const platform::TxnRequest &Request) {
   const std::lock_guard<std::mutex> Lock(Mutex);
   platform::TxnResponse Reply;
-  bool Holds = true;
+  bool Succeeds = true;
   for (const auto &Each : Request.compare()) {
     const auto Found = Pairs.find(Each.key());
-    const std::int64_t Present =
+    const std::int64_t CurrentRevision =
         Found == Pairs.end() ? 0 : Found->second.mod_revision();
-    Holds = Holds && Present == Each.mod_revision();
+    Succeeds = Succeeds && CurrentRevision == Each.mod_revision();
   }
   for (const auto &Op : Request.success())
     if (Op.has_request_put() && Op.request_put().lease() != 0 &&
         Leases.count(Op.request_put().lease()) == 0)
-      Holds = false;
-  Reply.set_succeeded(Holds);
-  const auto &Ops = Holds ? Request.success() : Request.failure();
+      Succeeds = false;
+  Reply.set_succeeded(Succeeds);
+  const auto &Ops = Succeeds ? Request.success() : Request.failure();
   if (!Ops.empty())
     ++Revision;
   for (const auto &Op : Ops) {
@@ -102,7 +103,7 @@
   const std::lock_guard<std::mutex> Lock(Mutex);
   const std::int64_t Id = NextLease++;
   Leases[Id].TtlS = TtlS;
-  Leases[Id].Until = monotonicNow() + std::chrono::seconds(TtlS);
+  Leases[Id].ExpiresAt = monotonicNow() + std::chrono::seconds(TtlS);
   platform::LeaseGrantResponse Reply;
   Reply.set_id(Id);
   Reply.set_ttl(TtlS);
@@ -114,7 +115,7 @@
   const auto Found = Leases.find(Id);
   if (Found == Leases.end())
     return 0;
-  Found->second.Until =
+  Found->second.ExpiresAt =
       monotonicNow() + std::chrono::seconds(Found->second.TtlS);
   return Found->second.TtlS;
 }
@@ -133,31 +134,31 @@
 }
 
 void StoreState::expireLeases() {
-  std::vector<std::int64_t> Lapsed;
+  std::vector<std::int64_t> Expired;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
     for (const auto &[Id, Each] : Leases)
-      if (Each.Until < monotonicNow())
-        Lapsed.push_back(Id);
+      if (Each.ExpiresAt < monotonicNow())
+        Expired.push_back(Id);
   }
-  for (const std::int64_t Id : Lapsed)
+  for (const std::int64_t Id : Expired)
     revoke(Id);
 }
 
 std::vector<platform::Event> StoreState::eventsAfter(const std::string &Key,
                                                      const std::string &End,
                                                      std::int64_t &After,
-                                                     Milliseconds Patience) {
+                                                     Milliseconds Timeout) {
   std::unique_lock<std::mutex> Lock(Mutex);
   std::vector<platform::Event> Found;
-  const auto Look = [&] {
+  const auto FindEvents = [&] {
     for (auto It = Events.rbegin();
          It != Events.rend() && It->kv().mod_revision() > After; ++It)
       if (It->kv().key() >= Key && It->kv().key() < End)
         Found.push_back(*It);
     return !Found.empty();
   };
-  Changed.wait_for(Lock, Patience, Look);
+  Changed.wait_for(Lock, Timeout, FindEvents);
   After = Revision;
   std::reverse(Found.begin(), Found.end());
   return Found;
--- a/standins/StoreState.h
+++ b/standins/StoreState.h
@@ -1,6 +1,3 @@
-/// \file
-/// The memory of the stand-in store: keys, revisions, leases and events.
-
 #ifndef BAOBABCOVE_STANDINS_STORESTATE_H
 #define BAOBABCOVE_STANDINS_STORESTATE_H
 
@@ -16,31 +13,37 @@
 
 namespace baobabcove::standins {
 
-/// A single-node store with the semantics of the published etcd v3 calls that
-/// baobabcove uses. Thread-safe.
+/// The keys, revisions, leases and events of a single-node store, held in
+/// memory with the semantics of the published etcd v3 calls that baobabcove
+/// uses. Thread-safe.
 class StoreState {
 public:
   platform::RangeResponse range(const platform::RangeRequest &Request);
+  /// Applies the operations for success when every key has the compared
+  /// revision and every lease named exists, or else those for failure.
   platform::TxnResponse transact(const platform::TxnRequest &Request);
   platform::LeaseGrantResponse grant(std::int64_t TtlS);
-  /// Remaining time to live in seconds; zero when the lease has lapsed.
+  /// Renews a lease. Returns its time to live in seconds, or zero when the
+  /// lease has expired.
   std::int64_t keepAlive(std::int64_t Id);
+  /// Ends a lease and deletes its keys. Returns the store's revision.
   std::int64_t revoke(std::int64_t Id);
 
-  /// Events on keys in [\p Key, \p End) after \p Revision; waits for one at
-  /// most \p Patience.
+  /// Returns the events on keys in [\p Key, \p End) after the revision
+  /// \p After, waiting for the first one at most \p Timeout. Sets \p After to
+  /// the present revision.
   std::vector<platform::Event> eventsAfter(const std::string &Key,
                                            const std::string &End,
-                                           std::int64_t &Revision,
-                                           Milliseconds Patience);
+                                           std::int64_t &After,
+                                           Milliseconds Timeout);
 
-  /// Ends lapsed leases.
+  /// Revokes the leases that have expired.
   void expireLeases();
 
 private:
   struct Lease {
     std::int64_t TtlS = 0;
-    Instant Until;
+    Instant ExpiresAt;
     std::set<std::string> Keys;
   };
 
--- a/standins/WorkerMain.cpp
+++ b/standins/WorkerMain.cpp
@@ -1,10 +1,11 @@
 /// \file
-/// Stand-in of a worker: runs tasks under leases on its machine's monotonic
-/// clock, writes checkpoints, and can be told to fail everything. What tasks
-/// do is said in their payload: "work_ms=N", "fail", "checkpoint_ms=N" and
-/// "uses_mb=N", which is measured after a lag.
+/// Stand-in of a worker: simulates tasks under leases on its machine's
+/// monotonic clock, takes checkpoints, and can be made to fail all tasks. The
+/// payload of a task selects its behaviour: "work_ms=N" is its run time,
+/// "fail" makes it fail at its end, "checkpoint_ms=N" is the time that a
+/// checkpoint takes, and "uses_mb=N" is the memory use that it reports.
 
-#include "Journal.h"
+#include "EventJournal.h"
 #include "base/HttpClient.h"
 #include "base/Signals.h"
 #include "http/HttpServer.h"
@@ -19,183 +20,195 @@
 #include <absl/flags/parse.h>
 
 ABSL_FLAG(std::string, address, "127.0.0.1:0", "ip:port to serve on");
-ABSL_FLAG(std::string, journal, "", "file that lists what was run");
+ABSL_FLAG(std::string, journal, "",
+          "file to which events of tasks are appended");
 
 namespace baobabcove::standins {
 namespace {
 
-constexpr Milliseconds StepPeriod{20};
-/// Signs of life in the journal, so that a reader knows when it was killed.
-constexpr Milliseconds SignPeriod{100};
+constexpr Milliseconds UpdatePeriod{20};
+/// Period of "alive" events in the journal, which tell a reader when the
+/// process was killed.
+constexpr Milliseconds AliveEventPeriod{100};
 constexpr std::uint64_t DefaultWorkMs = 1000;
-/// Time after its start from which the use of a task is known.
-constexpr Milliseconds UsageLag{500};
+/// Time after its start from which a task reports its memory use, since
+/// measurements lag behind.
+constexpr Milliseconds UsageReportDelay{500};
 
+/// Returns the number after "\p Key=" in \p Payload, or \p Default when the key
+/// is absent.
 std::uint64_t payloadNumber(const std::string &Payload, const std::string &Key,
                             std::uint64_t Default) {
-  const std::size_t At = Payload.find(Key + "=");
-  return At == std::string::npos
+  const std::size_t Found = Payload.find(Key + "=");
+  return Found == std::string::npos
              ? Default
-             : std::stoull(Payload.substr(At + Key.size() + 1));
+             : std::stoull(Payload.substr(Found + Key.size() + 1));
 }
 
-Instant leaseEnd(std::uint64_t Ms) {
+Instant toInstant(std::uint64_t Ms) {
   return Instant(Milliseconds(static_cast<std::int64_t>(Ms)));
 }
 
-/// The tasks that one order started.
-struct Tasks {
+/// The tasks started by one order, which end together.
+struct TaskGroup {
   platform::TaskOrder Order;
   std::string State = "running";
   Instant Started;
-  Instant Lease;
+  Instant LeaseEnd;
   std::uint64_t ProgressMs = 0;
 };
 
-class Worker {
+class SimulatedWorker {
 public:
-  Worker() : Ran(absl::GetFlag(FLAGS_journal)) { Ran.write("boot", "-", "-"); }
+  SimulatedWorker() : Events(absl::GetFlag(FLAGS_journal)) {
+    Events.write("boot", "-", "-");
+  }
 
-  HttpResponse answer(const HttpRequest &Request) {
+  HttpResponse handle(const HttpRequest &Request) {
     if (Request.Path == "/tasks")
-      return report();
+      return reportTasks();
     if (Request.Path == "/tasks/start")
-      return start(Request);
+      return startTasks(Request);
     if (Request.Path == "/order/fail")
-      FailEverything = Request.query("on") != "false";
+      FailAll = Request.query("on") != "false";
     if (Request.Path == "/order/fail")
-      return status("{}");
-    return act(Request);
+      return jsonResponse("{}");
+    return applyAction(Request);
   }
 
-  /// Moves every task on; a task whose lease has lapsed is stopped.
-  void step() {
+  /// Updates the progress of the running tasks, and ends those whose lease has
+  /// expired, whose work is done, or that are to fail.
+  void update() {
     const std::lock_guard<std::mutex> Lock(Mutex);
     const Instant Now = monotonicNow();
-    if (Now - LastSign >= SignPeriod) {
-      Ran.write("alive", "-", "-");
-      LastSign = Now;
+    if (Now - LastAliveEvent >= AliveEventPeriod) {
+      Events.write("alive", "-", "-");
+      LastAliveEvent = Now;
     }
-    for (auto &[Id, Each] : All) {
+    for (auto &[Id, Each] : Groups) {
       if (Each.State != "running")
         continue;
       Each.ProgressMs =
           Each.Order.resume_ms() +
           static_cast<std::uint64_t>((Now - Each.Started).count());
-      if (Now > Each.Lease)
-        end(Id, Each, "lapsed");
-      else if (Each.ProgressMs >= workOf(Each))
-        end(Id, Each, fails(Each) ? "failed" : "succeeded");
-      else if (FailEverything)
-        end(Id, Each, "failed");
+      if (Now > Each.LeaseEnd)
+        endGroup(Id, Each, "lapsed");
+      else if (Each.ProgressMs >= workMsOf(Each))
+        endGroup(Id, Each, shouldFail(Each) ? "failed" : "succeeded");
+      else if (FailAll)
+        endGroup(Id, Each, "failed");
     }
   }
 
 private:
-  static std::uint64_t workOf(const Tasks &Of) {
-    return payloadNumber(Of.Order.payload(), "work_ms", DefaultWorkMs);
+  static std::uint64_t workMsOf(const TaskGroup &Group) {
+    return payloadNumber(Group.Order.payload(), "work_ms", DefaultWorkMs);
   }
-  static bool fails(const Tasks &Of) {
-    return Of.Order.payload().find("fail") != std::string::npos;
+  static bool shouldFail(const TaskGroup &Group) {
+    return Group.Order.payload().find("fail") != std::string::npos;
   }
 
-  static HttpResponse status(const std::string &Body, int Code = 200) {
+  static HttpResponse jsonResponse(const std::string &Body, int Status = 200) {
     HttpResponse Response;
-    Response.Status = Code;
+    Response.Status = Status;
     Response.Body = Body;
     return Response;
   }
 
-  void end(const std::string &Id, Tasks &Of, const std::string &State) {
-    Of.State = State;
-    Ran.write("end", Id, State);
+  void endGroup(const std::string &Id, TaskGroup &Group,
+                const std::string &State) {
+    Group.State = State;
+    Events.write("end", Id, State);
   }
 
-  HttpResponse start(const HttpRequest &Request) {
+  /// Starts the tasks of an order unless its lease has expired. An order that
+  /// is repeated starts nothing more.
+  HttpResponse startTasks(const HttpRequest &Request) {
     platform::TaskOrder Order;
     if (!fromJson(Request.Body, Order))
-      return status("{}", 400);
+      return jsonResponse("{}", 400);
     const std::lock_guard<std::mutex> Lock(Mutex);
-    if (monotonicNow() > leaseEnd(Order.lease_until_ms()))
-      return status("{}", 409);
-    if (All.count(Order.id()) == 0) {
-      Tasks &Fresh = All[Order.id()];
-      Fresh.Order = Order;
-      Fresh.Started = monotonicNow();
-      Fresh.Lease = leaseEnd(Order.lease_until_ms());
-      Ran.write("start", Order.id(),
-                std::to_string(Order.tasks() * Order.accelerators()));
+    if (monotonicNow() > toInstant(Order.lease_until_ms()))
+      return jsonResponse("{}", 409);
+    if (Groups.count(Order.id()) == 0) {
+      TaskGroup &NewGroup = Groups[Order.id()];
+      NewGroup.Order = Order;
+      NewGroup.Started = monotonicNow();
+      NewGroup.LeaseEnd = toInstant(Order.lease_until_ms());
+      Events.write("start", Order.id(),
+                   std::to_string(Order.tasks() * Order.accelerators()));
     }
-    return status(toJson(statusOf(All[Order.id()])));
+    return jsonResponse(toJson(statusOf(Groups[Order.id()])));
   }
 
-  HttpResponse act(const HttpRequest &Request) {
+  /// Renews the lease of tasks, or stops them with or without a checkpoint.
+  HttpResponse applyAction(const HttpRequest &Request) {
     platform::TaskAction Action;
     if (!fromJson(Request.Body, Action))
-      return status("{}", 400);
+      return jsonResponse("{}", 400);
     std::uint64_t CheckpointMs = 0;
     {
       const std::lock_guard<std::mutex> Lock(Mutex);
-      const auto Found = All.find(Action.id());
-      if (Found == All.end())
-        return status("{}", Request.Path == "/tasks/stop" ? 200 : 404);
+      const auto Found = Groups.find(Action.id());
+      if (Found == Groups.end())
+        return jsonResponse("{}", Request.Path == "/tasks/stop" ? 200 : 404);
       CheckpointMs =
           payloadNumber(Found->second.Order.payload(), "checkpoint_ms", 0);
     }
     if (Request.Path == "/tasks/checkpoint")
       std::this_thread::sleep_for(Milliseconds(CheckpointMs));
     const std::lock_guard<std::mutex> Lock(Mutex);
-    Tasks &Of = All[Action.id()];
-    const bool Running = Of.State == "running";
-    if (Request.Path == "/tasks/renew" && Running)
-      Of.Lease = leaseEnd(Action.lease_until_ms());
-    else if (Running)
-      end(Action.id(), Of, "stopped");
+    TaskGroup &Group = Groups[Action.id()];
+    const bool IsRunning = Group.State == "running";
+    if (Request.Path == "/tasks/renew" && IsRunning)
+      Group.LeaseEnd = toInstant(Action.lease_until_ms());
+    else if (IsRunning)
+      endGroup(Action.id(), Group, "stopped");
     else if (Request.Path == "/tasks/checkpoint")
-      return status("{}", 409);
-    return status(toJson(statusOf(Of)));
+      return jsonResponse("{}", 409);
+    return jsonResponse(toJson(statusOf(Group)));
   }
 
-  HttpResponse report() {
+  HttpResponse reportTasks() {
     const std::lock_guard<std::mutex> Lock(Mutex);
     platform::WorkerReport Report;
     Report.set_state("ready");
-    for (const auto &[Id, Each] : All)
+    for (const auto &[Id, Each] : Groups)
       *Report.add_tasks() = statusOf(Each);
-    return status(toJson(Report));
+    return jsonResponse(toJson(Report));
   }
 
-  static platform::TaskStatus statusOf(const Tasks &Of) {
+  static platform::TaskStatus statusOf(const TaskGroup &Group) {
     platform::TaskStatus Status;
-    Status.set_id(Of.Order.id());
-    Status.set_state(Of.State);
-    Status.set_progress_ms(Of.ProgressMs);
-    if (monotonicNow() - Of.Started >= UsageLag)
+    Status.set_id(Group.Order.id());
+    Status.set_state(Group.State);
+    Status.set_progress_ms(Group.ProgressMs);
+    if (monotonicNow() - Group.Started >= UsageReportDelay)
       Status.set_memory_mb_per_task(
-          payloadNumber(Of.Order.payload(), "uses_mb", 0));
+          payloadNumber(Group.Order.payload(), "uses_mb", 0));
     return Status;
   }
 
-  Journal Ran;
+  EventJournal Events;
   std::mutex Mutex;
-  Instant LastSign;
-  std::map<std::string, Tasks> All;
-  std::atomic<bool> FailEverything{false};
+  Instant LastAliveEvent;
+  std::map<std::string, TaskGroup> Groups;
+  std::atomic<bool> FailAll{false};
 };
 
 int serve() {
   blockSignals();
-  Worker Mine;
+  SimulatedWorker Worker;
   auto Server = serveHttp(
       absl::GetFlag(FLAGS_address), HttpLimits(),
-      [&](const HttpRequest &Request) { return Mine.answer(Request); });
+      [&](const HttpRequest &Request) { return Worker.handle(Request); });
   if (!Server)
     return 1;
   std::cout << "ready http=" << (*Server)->address() << std::endl;
   std::thread([&] {
     for (;;) {
-      Mine.step();
-      std::this_thread::sleep_for(StepPeriod);
+      Worker.update();
+      std::this_thread::sleep_for(UpdatePeriod);
     }
   }).detach();
   waitForStop([] {});
