--- a/benchmarks/SchedulerBenchmark.cpp
+++ b/benchmarks/SchedulerBenchmark.cpp
@@ -13,7 +13,7 @@
 
 using namespace baobabcove;
 
-constexpr std::uint32_t WorkerSize = 8;
+constexpr std::uint32_t AcceleratorsPerWorker = 8;
 /// Running tasks per worker: 5,000 tasks on 1,125 workers.
 constexpr double TasksPerWorker = 4.45;
 constexpr int WorkersPerRack = 3;
@@ -40,7 +40,7 @@
       Info.Place = PlaceName("p");
       Info.DataCentre = DataCentreName("d");
       Info.Rack = RackName("r" + std::to_string(I / WorkersPerRack));
-      Info.Accelerators = WorkerSize;
+      Info.Accelerators = AcceleratorsPerWorker;
       Info.Cores = 60;
       Info.MemoryMb = 260000;
       Policy.workerSeen(Info, Now);
--- a/tests/fault/ChaosTest.cpp
+++ b/tests/fault/ChaosTest.cpp
@@ -1,5 +1,5 @@
 #include "Callers.h"
-#include "JobSite.h"
+#include "JobDeployment.h"
 
 #include <cstdlib>
 #include <random>
@@ -14,72 +14,83 @@
 constexpr int DefaultSeed = 1;
 constexpr int DefaultSeconds = 20;
 
-int setting(const char *Name, int Default) {
+/// Returns the number in an environment variable, or \p Default when it is not
+/// set.
+int environmentNumber(const char *Name, int Default) {
   const char *Text = std::getenv(Name);
   return Text ? std::atoi(Text) : Default;
 }
 
-/// Draws faults one after another and brings each about.
-class Chaos {
+/// Injects random faults into a deployment. The same seed selects the same
+/// sequence of faults.
+class FaultInjector {
 public:
-  Chaos(Deployment &Site, int Seed)
-      : Site(Site), Random(static_cast<unsigned>(Seed)) {}
+  FaultInjector(Deployment &Cluster, int Seed)
+      : Cluster(Cluster), Random(static_cast<unsigned>(Seed)) {}
 
-  /// Brings about one fault; returns its name.
-  std::string next() {
-    using Fault = void (Chaos::*)();
-    static const std::vector<std::pair<const char *, Fault>> Faults = {
-        {"kill entry", &Chaos::killEntry},
-        {"kill minion agent", &Chaos::killMinionAgent},
-        {"kill minion", &Chaos::killMinion},
-        {"kill worker agent", &Chaos::killWorkerAgent},
-        {"kill worker", &Chaos::killWorker},
-        {"freeze entry", &Chaos::freezeEntry},
-        {"freeze worker agent", &Chaos::freezeWorkerAgent},
-        {"store down", &Chaos::storeDown},
-        {"store slow", &Chaos::storeSlow},
-        {"store loses answers", &Chaos::storeLoses},
-        {"connections cut", &Chaos::cut},
-        {"connections silent", &Chaos::silence},
+  /// Injects one fault and returns its name. Pauses and outages of the store
+  /// have ended on return.
+  std::string injectRandomFault() {
+    using FaultFunction = void (FaultInjector::*)();
+    static const std::vector<std::pair<const char *, FaultFunction>> Faults = {
+        {"kill entry", &FaultInjector::killEntry},
+        {"kill minion agent", &FaultInjector::killMinionAgent},
+        {"kill minion", &FaultInjector::killMinion},
+        {"kill worker agent", &FaultInjector::killWorkerAgent},
+        {"kill worker", &FaultInjector::killWorker},
+        {"pause entry", &FaultInjector::pauseEntry},
+        {"pause worker agent", &FaultInjector::pauseWorkerAgent},
+        {"store down", &FaultInjector::interruptStore},
+        {"store slow", &FaultInjector::slowStore},
+        {"store loses responses", &FaultInjector::loseStoreResponses},
+        {"connections closed", &FaultInjector::closeConnections},
+        {"connections silent", &FaultInjector::silenceConnections},
     };
-    const auto &[Name, Happen] =
-        Faults[draw(static_cast<int>(Faults.size()) - 1)];
-    (this->*Happen)();
+    const auto &[Name, Inject] =
+        Faults[randomUpTo(static_cast<int>(Faults.size()) - 1)];
+    (this->*Inject)();
     return Name;
   }
 
-  int draw(int Most) {
-    return std::uniform_int_distribution<int>(0, Most)(Random);
+  /// Returns a random number in [0, \p Max].
+  int randomUpTo(int Max) {
+    return std::uniform_int_distribution<int>(0, Max)(Random);
   }
 
 private:
-  void killEntry() { (void)Site.restartEntry(draw(1)); }
-  void killMinionAgent() { (void)Site.restartMinionAgent(draw(2)); }
-  void killMinion() { (void)Site.restartMinion(draw(2)); }
-  void killWorkerAgent() { (void)Site.restartWorkerAgent(draw(3)); }
-  void killWorker() { (void)Site.restartWorker(draw(3)); }
-  void freezeEntry() { pause(Site.entry(draw(1))); }
-  void freezeWorkerAgent() { pause(Site.workerAgent(draw(3))); }
-  void pause(Process &Which) {
-    Which.freeze();
-    sleepMs(500 + draw(6000));
-    Which.thaw();
+  void killEntry() { (void)Cluster.restartEntry(randomUpTo(1)); }
+  void killMinionAgent() { (void)Cluster.restartMinionAgent(randomUpTo(2)); }
+  void killMinion() { (void)Cluster.restartMinion(randomUpTo(2)); }
+  void killWorkerAgent() { (void)Cluster.restartWorkerAgent(randomUpTo(3)); }
+  void killWorker() { (void)Cluster.restartWorker(randomUpTo(3)); }
+  void pauseEntry() { pauseAndResume(Cluster.entry(randomUpTo(1))); }
+  void pauseWorkerAgent() {
+    pauseAndResume(Cluster.workerAgent(randomUpTo(3)));
   }
-  void storeDown() {
-    (void)Site.orderStore("/down");
-    sleepMs(500 + draw(4000));
-    (void)Site.orderStore("/up");
+  void pauseAndResume(Process &Target) {
+    Target.pause();
+    sleepMs(500 + randomUpTo(6000));
+    Target.resume();
   }
-  void storeSlow() {
-    (void)Site.orderStore("/slow?ms=200");
-    sleepMs(500 + draw(2000));
-    (void)Site.orderStore("/slow?ms=0");
+  void interruptStore() {
+    (void)Cluster.controlStore("/down");
+    sleepMs(500 + randomUpTo(4000));
+    (void)Cluster.controlStore("/up");
+  }
+  void slowStore() {
+    (void)Cluster.controlStore("/slow?ms=200");
+    sleepMs(500 + randomUpTo(2000));
+    (void)Cluster.controlStore("/slow?ms=0");
+  }
+  void loseStoreResponses() { (void)Cluster.controlStore("/lose?count=5"); }
+  void closeConnections() {
+    (void)Cluster.controlMinionAgentProxy(randomUpTo(2), "/cut");
+  }
+  void silenceConnections() {
+    (void)Cluster.controlMinionAgentProxy(randomUpTo(2), "/silence");
   }
-  void storeLoses() { (void)Site.orderStore("/lose?count=5"); }
-  void cut() { (void)Site.orderAgentProxy(draw(2), "/cut"); }
-  void silence() { (void)Site.orderAgentProxy(draw(2), "/silence"); }
 
-  Deployment &Site;
+  Deployment &Cluster;
   std::mt19937 Random;
 };
 
@@ -87,50 +98,52 @@
 
 TEST_GROUP(Chaos){};
 
-TEST(Chaos, KeepsEveryPromiseUnderARandomScheduleOfFaults) {
-  const int Seed = setting("CHAOS_SEED", DefaultSeed);
-  DeploymentPlan Plan;
-  Plan.Minions = 3;
-  Plan.Workers = 4;
-  Plan.ProxyAgents = true;
-  JobSite Jobs(Plan);
-  CHECK_TRUE(Jobs.Site.ready());
-  Tally Got;
-  CallerPlan Load;
-  Load.Threads = 4;
-  Load.Count = 1000000;
-  Callers Callers(Jobs.Site, Got, Load);
-  Chaos Faults(Jobs.Site, Seed);
-  const Instant Until =
+TEST(Chaos, UpholdsAllInvariantsUnderRandomFaults) {
+  const int Seed = environmentNumber("CHAOS_SEED", DefaultSeed);
+  DeploymentOptions Options;
+  Options.Minions = 3;
+  Options.Workers = 4;
+  Options.ProxyMinionAgents = true;
+  JobDeployment Jobs(Options);
+  CHECK_TRUE(Jobs.Cluster.ready());
+  CallerResults Results;
+  CallerOptions LoadOptions;
+  LoadOptions.ThreadCount = 4;
+  LoadOptions.RequestsPerThread = 1000000;
+  Callers Load(Jobs.Cluster, Results, LoadOptions);
+  FaultInjector Faults(Jobs.Cluster, Seed);
+  const Instant EndTime =
       monotonicNow() +
-      std::chrono::seconds(setting("CHAOS_SECONDS", DefaultSeconds));
-  std::string Story = "seed " + std::to_string(Seed) + ":";
+      std::chrono::seconds(environmentNumber("CHAOS_SECONDS", DefaultSeconds));
+  std::string Schedule = "seed " + std::to_string(Seed) + ":";
   std::map<std::string, bool> Ids;
-  while (monotonicNow() < Until) {
-    const bool Once = Faults.draw(3) == 0;
-    const std::string Id = Jobs.submit(Faults.draw(1), 1 + Faults.draw(2),
-                                       500 + Faults.draw(3000), !Once);
+  while (monotonicNow() < EndTime) {
+    const bool AtMostOnce = Faults.randomUpTo(3) == 0;
+    const std::string Id =
+        Jobs.submit(Faults.randomUpTo(1), 1 + Faults.randomUpTo(2),
+                    500 + Faults.randomUpTo(3000), !AtMostOnce);
     if (!Id.empty())
-      Ids[Id] = Once;
-    Story += " " + Faults.next() + ",";
-    sleepMs(Faults.draw(800));
+      Ids[Id] = AtMostOnce;
+    Schedule += " " + Faults.injectRandomFault() + ",";
+    sleepMs(Faults.randomUpTo(800));
   }
-  // Whatever was accepted comes to its end once the faults are over.
-  for (const auto &[Id, Once] : Ids) {
+  // Every accepted job must end after the last fault.
+  for (const auto &[Id, AtMostOnce] : Ids) {
     const bool Ended = Deployment::waitFor(
         [&, &Name = Id] {
-          const auto State = Jobs.Site.job(0, Name).state();
+          const auto State = Jobs.Cluster.job(0, Name).state();
           return State == wire::DONE || State == wire::JOB_FAILED;
         },
         90);
-    CHECK_TEXT(Ended, (Story + " " + Id + " has not ended").c_str());
-    if (Once)
-      CHECK_TEXT(Jobs.attemptsRun(Id) <= 1, (Story + " " + Id).c_str());
+    CHECK_TEXT(Ended, (Schedule + " " + Id + " did not end").c_str());
+    if (AtMostOnce)
+      CHECK_TEXT(Jobs.countAttempts(Id) <= 1, (Schedule + " " + Id).c_str());
   }
-  Got.Stop = true;
-  Callers.join();
-  STRCMP_EQUAL_TEXT("", broken(Got, Jobs.Site).c_str(), Story.c_str());
-  STRCMP_EQUAL_TEXT("", Jobs.broken().c_str(), Story.c_str());
-  CHECK_TEXT(Got.count("answered") > 50, Story.c_str());
-  LONGS_EQUAL_TEXT(1, Jobs.Site.leastVersion(), Story.c_str());
+  Results.Stop = true;
+  Load.join();
+  STRCMP_EQUAL_TEXT("", firstViolation(Results, Jobs.Cluster).c_str(),
+                    Schedule.c_str());
+  STRCMP_EQUAL_TEXT("", Jobs.firstViolation().c_str(), Schedule.c_str());
+  CHECK_TEXT(Results.count("answered") > 50, Schedule.c_str());
+  LONGS_EQUAL_TEXT(1, Jobs.Cluster.lowestVersion(), Schedule.c_str());
 }
--- a/tests/support/Callers.cpp
+++ b/tests/support/Callers.cpp
@@ -6,44 +6,48 @@
 
 namespace {
 
-constexpr int MaxTries = 8;
-constexpr int TryPauseMs = 150;
+constexpr int MaxAttempts = 8;
+constexpr int RetryDelayMs = 150;
 constexpr int DeadlineMs = 4000;
 
-/// Keys that ran, out of journal lines "time run workspace/key body".
-std::set<std::string> keysRun(const std::vector<std::string> &Lines) {
+/// Returns the keys of the requests that ran, given journal lines "time run
+/// workspace/key body".
+std::set<std::string> keysOfRuns(const std::vector<std::string> &RunLines) {
   std::set<std::string> Keys;
-  for (const std::string &Line : Lines) {
+  for (const std::string &Line : RunLines) {
     const std::size_t Slash = Line.find('/');
     Keys.insert(Line.substr(Slash + 1, Line.find(' ', Slash) - Slash - 1));
   }
   return Keys;
 }
 
-CallResult sendUntilKnown(Deployment &Site, int First, int Entries,
+/// Sends a request to one entry after another until it is answered or its
+/// outcome can no longer be found out (PinExpired), at most MaxAttempts times.
+CallResult sendUntilKnown(Deployment &Cluster, int FirstEntry, int Entries,
                           const std::string &Body, const std::string &Key) {
   CallResult Result;
-  for (int Try = 0; Try < MaxTries; ++Try) {
-    Result =
-        Site.request((First + Try) % Entries, Body, false, Key, DeadlineMs);
-    const bool Final = Result.Outcome == "answered" ||
-                       Result.Body.find("PinExpired") != std::string::npos;
-    if (Final)
+  for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
+    Result = Cluster.request((FirstEntry + Attempt) % Entries, Body, false, Key,
+                             DeadlineMs);
+    const bool Finished = Result.Outcome == "answered" ||
+                          Result.Body.find("PinExpired") != std::string::npos;
+    if (Finished)
       break;
-    sleepMs(TryPauseMs);
+    sleepMs(RetryDelayMs);
   }
   if (Result.Outcome.empty())
     Result.Outcome = "unknown";
   return Result;
 }
 
-void runCaller(Deployment &Site, Tally &Got, int Caller,
-               const CallerPlan &Plan) {
-  for (int N = 0; N < Plan.Count && !Got.Stop; ++N) {
+void runCaller(Deployment &Cluster, CallerResults &Results, int Caller,
+               const CallerOptions &Options) {
+  for (int N = 0; N < Options.RequestsPerThread && !Results.Stop; ++N) {
     const std::string Key =
         "k" + std::to_string(Caller) + "-" + std::to_string(N);
-    const std::string Body = Key + " " + Plan.Work;
-    Got.note(Key, Body, sendUntilKnown(Site, Caller, Plan.Entries, Body, Key));
+    const std::string Body = Key + " " + Options.Work;
+    Results.record(Key, Body,
+                   sendUntilKnown(Cluster, Caller, Options.Entries, Body, Key));
   }
 }
 
@@ -53,62 +57,65 @@
   std::this_thread::sleep_for(std::chrono::milliseconds(Ms));
 }
 
-void Tally::note(const std::string &Key, const std::string &Body,
-                 const CallResult &Result) {
+void CallerResults::record(const std::string &Key, const std::string &Body,
+                           const CallResult &Result) {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  Last[Key] = Result;
+  LastResults[Key] = Result;
   if (Result.Status == 200 && Result.Body != "answer:" + Body)
-    Wrong.push_back(Key + " got " + Result.Body);
+    WrongResponses.push_back(Key + " received " + Result.Body);
 }
 
-std::string Tally::unanswered() const {
-  std::string Text;
-  for (const auto &[Key, Result] : Last)
+std::string CallerResults::describeUnanswered() const {
+  std::string Description;
+  for (const auto &[Key, Result] : LastResults)
     if (Result.Outcome != "answered")
-      Text += Key + ": " + Result.Body + "\n";
-  return Text;
+      Description += Key + ": " + Result.Body + "\n";
+  return Description;
 }
 
-std::size_t Tally::count(const std::string &Outcome) const {
+std::size_t CallerResults::count(const std::string &Outcome) const {
   std::size_t Count = 0;
-  for (const auto &[Key, Result] : Last)
+  for (const auto &[Key, Result] : LastResults)
     Count += Result.Outcome == Outcome ? 1 : 0;
   return Count;
 }
 
-std::string broken(const Tally &Got, const Deployment &Site) {
-  if (!Got.Wrong.empty())
-    return "wrong answer: " + Got.Wrong[0];
-  const auto Lines = Site.minionRuns();
-  const auto Twice = ranTwice(Lines);
-  if (!Twice.empty())
-    return "ran twice: " + Twice[0];
-  const auto Ran = keysRun(Lines);
-  for (const auto &[Key, Result] : Got.Last) {
-    if (Result.Outcome == "not run" && Ran.count(Key) != 0)
-      return "told not run, but ran: " + Key;
-    if (Result.Outcome == "answered" && Ran.count(Key) == 0)
+std::string firstViolation(const CallerResults &Results,
+                           const Deployment &Cluster) {
+  if (!Results.WrongResponses.empty())
+    return "wrong response: " + Results.WrongResponses[0];
+  const auto RunLines = Cluster.minionRuns();
+  const auto Duplicates = findDuplicateRuns(RunLines);
+  if (!Duplicates.empty())
+    return "ran twice: " + Duplicates[0];
+  const auto KeysRun = keysOfRuns(RunLines);
+  for (const auto &[Key, Result] : Results.LastResults) {
+    if (Result.Outcome == "not run" && KeysRun.count(Key) != 0)
+      return "reported as not run, but ran: " + Key;
+    if (Result.Outcome == "answered" && KeysRun.count(Key) == 0)
       return "answered, but did not run: " + Key;
   }
   return {};
 }
 
-Callers::Callers(Deployment &Site, Tally &Got, const CallerPlan &Plan)
-    : Got(Got) {
-  for (int I = 0; I < Plan.Threads; ++I)
-    List.emplace_back(
-        [&Site, &Got, I, Plan] { runCaller(Site, Got, I, Plan); });
+Callers::Callers(Deployment &Cluster, CallerResults &Results,
+                 const CallerOptions &Options)
+    : Results(Results) {
+  for (int I = 0; I < Options.ThreadCount; ++I)
+    Threads.emplace_back([&Cluster, &Results, I, Options] {
+      runCaller(Cluster, Results, I, Options);
+    });
 }
 
 Callers::~Callers() {
-  Got.Stop = true;
+  Results.Stop = true;
   join();
 }
 
 void Callers::join() {
-  for (std::thread &Each : List)
-    if (Each.joinable())
-      Each.join();
+  for (std::thread &Thread : Threads)
+    if (Thread.joinable())
+      Thread.join();
 }
 
 } // namespace baobabcove::testing
--- a/tests/support/Callers.h
+++ b/tests/support/Callers.h
@@ -1,6 +1,3 @@
-/// \file
-/// Callers that send keyed requests under faults, and what they were told.
-
 #ifndef BAOBABCOVE_TESTS_SUPPORT_CALLERS_H
 #define BAOBABCOVE_TESTS_SUPPORT_CALLERS_H
 
@@ -15,49 +12,52 @@
 
 namespace baobabcove::testing {
 
-/// What callers got, by key.
-struct Tally {
+/// Results of the requests of all callers, by idempotency key. Thread-safe
+/// while callers run, except for describeUnanswered() and count().
+struct CallerResults {
   std::mutex Mutex;
-  std::map<std::string, CallResult> Last;
-  std::vector<std::string> Wrong;
-  /// Callers that go on until told.
+  std::map<std::string, CallResult> LastResults;
+  std::vector<std::string> WrongResponses;
+  /// Makes callers stop before they have sent all their requests.
   std::atomic<bool> Stop{false};
 
-  void note(const std::string &Key, const std::string &Body,
-            const CallResult &Result);
-  /// The answers of callers that were not served.
-  std::string unanswered() const;
+  void record(const std::string &Key, const std::string &Body,
+              const CallResult &Result);
+  /// Returns one line for each request that was not answered.
+  std::string describeUnanswered() const;
+  /// Returns the number of requests with that outcome.
   std::size_t count(const std::string &Outcome) const;
 };
 
-/// The first promise that the journals show broken, or an empty text: an
-/// answer that is another's, a request that ran twice, one that ran although
-/// its caller was told "not run", or an answer to one that never ran.
-std::string broken(const Tally &Got, const Deployment &Site);
+/// Compares the results with the journals of the minions. Returns the first
+/// violation, or an empty string: a response to another request, a request that
+/// ran twice, one that ran although its caller was told "not run", or a
+/// response to one that never ran.
+std::string firstViolation(const CallerResults &Results,
+                           const Deployment &Cluster);
 
-/// How callers behave.
-struct CallerPlan {
-  int Threads = 8;
-  /// Requests of each thread.
-  int Count = 25;
-  /// Part of the body that tells the minion how long to work.
+/// Load that callers generate.
+struct CallerOptions {
+  int ThreadCount = 8;
+  int RequestsPerThread = 25;
+  /// Part of the body that sets the work time of the minion in ms.
   std::string Work = "work=60";
   int Entries = 2;
 };
 
-/// Threads that send requests which are not idempotent, each with its key, and
-/// repeat each by its key through the next entry until the outcome is known.
+/// Threads that send non-idempotent requests with idempotency keys. A request
+/// whose outcome is not known is repeated with its key at the next entry.
 class Callers {
 public:
-  Callers(Deployment &Site, Tally &Got, const CallerPlan &Plan);
+  Callers(Deployment &Cluster, CallerResults &Results,
+          const CallerOptions &Options);
   ~Callers();
-  /// Waits until every thread has sent what it was to send, or was told to
-  /// stop.
+  /// Waits until every thread has sent its requests or was stopped.
   void join();
 
 private:
-  Tally &Got;
-  std::vector<std::thread> List;
+  CallerResults &Results;
+  std::vector<std::thread> Threads;
 };
 
 void sleepMs(int Ms);
--- a/tests/support/ComesTrue.h
+++ b/tests/support/ComesTrue.h
@@ -1,6 +1,3 @@
-/// \file
-/// Waiting for what other threads bring about.
-
 #ifndef BAOBABCOVE_TESTS_SUPPORT_COMESTRUE_H
 #define BAOBABCOVE_TESTS_SUPPORT_COMESTRUE_H
 
@@ -10,8 +7,8 @@
 
 namespace baobabcove {
 
-/// Waits until \p Holds returns true. Returns false after a time far beyond
-/// what the threads of a test need.
+/// Polls \p Holds until it returns true. Returns false after 20 s, which is far
+/// longer than the threads of a test need.
 template <class Condition> bool comesTrue(Condition Holds) {
   const Instant End = monotonicNow() + Milliseconds(20000);
   while (!Holds()) {
--- a/tests/support/Deployment.cpp
+++ b/tests/support/Deployment.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr Milliseconds LookPeriod{30};
+constexpr Milliseconds PollPeriod{30};
 
 std::string indexed(const std::string &Name, int I) {
   return Name + "-" + std::to_string(I);
@@ -28,7 +28,7 @@
 
 } // namespace
 
-Deployment::Deployment(const DeploymentPlan &Plan) : Plan(Plan) {
+Deployment::Deployment(const DeploymentOptions &Options) : Options(Options) {
   Poco::TemporaryFile Temporary;
   Temporary.createDirectories();
   Temporary.keepUntilExit();
@@ -38,20 +38,20 @@
 
 Deployment::~Deployment() = default;
 
-std::string Deployment::program(const std::string &Name) const {
+std::string Deployment::programPath(const std::string &Name) const {
   return std::string(PROGRAM_FOLDER) + "/" + Name;
 }
 
-std::string Deployment::seeds() const {
+std::string Deployment::entryAddressList() const {
   std::string List;
-  for (const std::string &Address : EntryRpc)
+  for (const std::string &Address : EntryRpcAddresses)
     List += (List.empty() ? "" : ", ") + Address;
   return "[" + List + "]";
 }
 
-std::string Deployment::entryHttp(int I) const {
+std::string Deployment::entryHttpAddress(int I) const {
   const std::lock_guard<std::mutex> Lock(AddressMutex);
-  return EntryHttp[I];
+  return EntryHttpAddresses[I];
 }
 
 std::string Deployment::log(const std::string &Name) const {
@@ -64,43 +64,42 @@
   const std::string Name = indexed("entry", I);
   std::string Settings = "node: " + Name + "\nplace: a\ndata_centre: a-1\n" +
                          "store_address: " + StoreAddress +
-                         "\nentry_addresses: " + seeds() +
+                         "\nentry_addresses: " + entryAddressList() +
                          "\nbootstrap_digest: " + sha256Hex(OperatorToken) +
-                         "\nlame_duck_ms: 500\n" + Plan.EntrySettings;
-  if (Plan.ProxyEntries)
+                         "\nlame_duck_ms: 500\n" + Options.EntrySettings;
+  if (Options.ProxyEntries)
     Settings +=
         "advertised_rpc_address: " + EntryProxies[I]->value("listen") + "\n";
   writeFile(Folder + "/" + Name + ".yaml", Settings);
   const bool Started =
-      Entries[I]->start({program("baobabcove-entry"),
+      Entries[I]->start({programPath("baobabcove-entry"),
                          "--settings=" + Folder + "/" + Name + ".yaml"},
                         Folder + "/" + Name + ".log");
   if (!Started)
     return false;
   {
     const std::lock_guard<std::mutex> Lock(AddressMutex);
-    EntryHttp.resize(Plan.Entries);
-    EntryHttp[I] = Entries[I]->value("http");
+    EntryHttpAddresses.resize(Options.Entries);
+    EntryHttpAddresses[I] = Entries[I]->value("http");
   }
-  if (EntryRpc.size() <= static_cast<std::size_t>(I))
-    EntryRpc.resize(I + 1);
-  if (!Plan.ProxyEntries) {
-    EntryRpc[I] = Entries[I]->value("rpc");
+  if (EntryRpcAddresses.size() <= static_cast<std::size_t>(I))
+    EntryRpcAddresses.resize(I + 1);
+  if (!Options.ProxyEntries) {
+    EntryRpcAddresses[I] = Entries[I]->value("rpc");
     return true;
   }
-  EntryRpc[I] = EntryProxies[I]->value("listen");
-  return order(EntryProxies[I]->value("control"),
-               "/target?to=" + Entries[I]->value("rpc"));
+  EntryRpcAddresses[I] = EntryProxies[I]->value("listen");
+  return sendControl(EntryProxies[I]->value("control"),
+                     "/target?to=" + Entries[I]->value("rpc"));
 }
 
-const Process *Deployment::proxyOf(const std::string &Kind, int I) const {
+const Process *Deployment::agentProxy(const std::string &Kind, int I) const {
   if (Kind == "minion")
-    return Plan.ProxyAgents ? AgentProxies[I].get() : nullptr;
-  return Plan.ProxyWorkers ? WorkerProxies[I].get() : nullptr;
+    return Options.ProxyMinionAgents ? MinionAgentProxies[I].get() : nullptr;
+  return Options.ProxyWorkerAgents ? WorkerAgentProxies[I].get() : nullptr;
 }
 
-/// The daemons of even or odd number.
-std::vector<const Process *> Deployment::region(int Odd) const {
+std::vector<const Process *> Deployment::regionProcesses(int Odd) const {
   std::vector<const Process *> Result;
   for (const auto *List : {&Entries, &MinionAgents, &WorkerAgents})
     for (std::size_t I = Odd; I < List->size(); I += 2)
@@ -108,78 +107,81 @@
   return Result;
 }
 
-bool Deployment::cutRegions(bool Cut) {
+bool Deployment::partitionRegions(bool Partitioned) {
   std::string Ids[2];
   for (int Odd = 0; Odd < 2; ++Odd)
-    for (const Process *Each : region(Odd))
+    for (const Process *Each : regionProcesses(Odd))
       Ids[Odd] += (Ids[Odd].empty() ? "" : ",") + Each->id();
-  const auto Bar = [&](const Process &Proxy, const std::string &From) {
-    return order(Proxy.value("control"), "/bar?ids=" + (Cut ? From : ""));
+  const auto BlockClients = [&](const Process &Proxy, const std::string &From) {
+    return sendControl(Proxy.value("control"),
+                       "/bar?ids=" + (Partitioned ? From : ""));
   };
-  bool Done = Bar(*StoreProxy, Ids[1]);
-  for (const auto *List : {&EntryProxies, &AgentProxies, &WorkerProxies})
+  bool Done = BlockClients(*StoreProxy, Ids[1]);
+  for (const auto *List :
+       {&EntryProxies, &MinionAgentProxies, &WorkerAgentProxies})
     for (std::size_t I = 0; I < List->size(); ++I)
-      Done = Bar(*(*List)[I], Ids[1 - I % 2]) && Done;
+      Done = BlockClients(*(*List)[I], Ids[1 - I % 2]) && Done;
   return Done;
 }
 
 bool Deployment::startAgent(const std::string &Name, const std::string &Kind,
                             int I, const std::string &Target, Process &Agent) {
-  // Minions and workers stand in turn in two racks.
+  // Each rack has three minions and three workers.
   std::string Settings =
       "node: " + Name + "\nplace: a\ndata_centre: a-1\n" + "rack: r" +
-      std::to_string(I / 3) + "\nentry_addresses: " + seeds() +
+      std::to_string(I / 3) + "\nentry_addresses: " + entryAddressList() +
       "\nstore_address: " + StoreAddress + "\ntarget_kind: " + Kind +
       "\ntarget_address: " + Target + "\nservice: " + Service + "\n" +
-      Plan.AgentSettings;
-  const Process *Proxy = proxyOf(Kind, I);
+      Options.AgentSettings;
+  const Process *Proxy = agentProxy(Kind, I);
   if (Proxy)
     Settings += "advertised_rpc_address: " + Proxy->value("listen") + "\n";
   writeFile(Folder + "/" + Name + ".yaml", Settings);
   const bool Started =
-      Agent.start({program("baobabcove-agent"),
+      Agent.start({programPath("baobabcove-agent"),
                    "--settings=" + Folder + "/" + Name + ".yaml"},
                   Folder + "/" + Name + ".log");
   if (!Started || !Proxy)
     return Started;
-  return order(Proxy->value("control"), "/target?to=" + Agent.value("rpc"));
+  return sendControl(Proxy->value("control"),
+                     "/target?to=" + Agent.value("rpc"));
 }
 
 bool Deployment::startAll() {
   Store = std::make_unique<Process>();
-  if (!Store->start({program("standin-store")}, Folder + "/store.log"))
+  if (!Store->start({programPath("standin-store")}, Folder + "/store.log"))
     return false;
   StoreAddress = Store->value("store");
   const auto StartProxy = [&](const std::string &Name,
                               const std::string &Target) {
     auto Proxy = std::make_unique<Process>();
-    if (!Proxy->start({program("standin-proxy"), "--target=" + Target},
+    if (!Proxy->start({programPath("standin-proxy"), "--target=" + Target},
                       Folder + "/" + Name + ".log"))
       Proxy.reset();
     return Proxy;
   };
-  if (Plan.ProxyStore) {
+  if (Options.ProxyStore) {
     StoreProxy = StartProxy("store-proxy", StoreAddress);
     StoreAddress = StoreProxy->value("listen");
   }
-  for (int I = 0; I < Plan.Entries; ++I) {
-    if (Plan.ProxyEntries)
+  for (int I = 0; I < Options.Entries; ++I) {
+    if (Options.ProxyEntries)
       EntryProxies.push_back(StartProxy(indexed("entry-proxy", I), ""));
     Entries.push_back(std::make_unique<Process>());
     if (!startEntry(I))
       return false;
   }
-  for (int I = 0; I < Plan.Minions; ++I) {
-    if (Plan.ProxyAgents)
-      AgentProxies.push_back(StartProxy(indexed("agent-proxy", I), ""));
+  for (int I = 0; I < Options.Minions; ++I) {
+    if (Options.ProxyMinionAgents)
+      MinionAgentProxies.push_back(StartProxy(indexed("agent-proxy", I), ""));
     Minions.push_back(std::make_unique<Process>());
     MinionAgents.push_back(std::make_unique<Process>());
     if (!restartMinion(I) || !restartMinionAgent(I))
       return false;
   }
-  for (int I = 0; I < Plan.Workers; ++I) {
-    if (Plan.ProxyWorkers)
-      WorkerProxies.push_back(StartProxy(indexed("worker-proxy", I), ""));
+  for (int I = 0; I < Options.Workers; ++I) {
+    if (Options.ProxyWorkerAgents)
+      WorkerAgentProxies.push_back(StartProxy(indexed("worker-proxy", I), ""));
     Workers.push_back(std::make_unique<Process>());
     WorkerAgents.push_back(std::make_unique<Process>());
     if (!restartWorker(I) || !restartWorkerAgent(I))
@@ -187,8 +189,8 @@
   }
   return waitFor([&] { return apply(0, 0, "", "first").Status == 200; }) &&
          waitFor([&] {
-           return leastVersion() >= 1 &&
-                  (Plan.Workers == 0 || coordinator() >= 0);
+           return lowestVersion() >= 1 &&
+                  (Options.Workers == 0 || coordinator() >= 0);
          });
 }
 
@@ -199,14 +201,14 @@
 }
 
 bool Deployment::restartMinion(int I) {
-  // The agent keeps its target's address, so the minion comes back at it.
+  // The settings of the agent hold the address, so the minion must keep it.
   const std::string Address =
       Minions[I]->running() ? Minions[I]->value("http") : "127.0.0.1:0";
   Minions[I]->kill();
   Minions[I] = std::make_unique<Process>();
   return Minions[I]->start(
-      {program("standin-minion"), "--address=" + Address,
-       "--work_ms=" + std::to_string(Plan.MinionWorkMs),
+      {programPath("standin-minion"), "--address=" + Address,
+       "--work_ms=" + std::to_string(Options.MinionWorkMs),
        "--journal=" + Folder + "/" + indexed("minion", I) + ".journal"},
       Folder + "/" + indexed("minion", I) + ".log");
 }
@@ -224,7 +226,7 @@
   Workers[I]->kill();
   Workers[I] = std::make_unique<Process>();
   return Workers[I]->start(
-      {program("standin-worker"), "--address=" + Address,
+      {programPath("standin-worker"), "--address=" + Address,
        "--journal=" + Folder + "/" + indexed("worker", I) + ".journal"},
       Folder + "/" + indexed("worker", I) + ".log");
 }
@@ -236,54 +238,56 @@
                     *WorkerAgents[I]);
 }
 
-bool Deployment::order(const std::string &Address, const std::string &Path) {
+bool Deployment::sendControl(const std::string &Address,
+                             const std::string &Path) {
   HttpClient Client(Address);
   HttpCall Call;
   Call.Path = Path;
-  const auto Answer = Client.call(Call);
-  return Answer && Answer->Status == 200;
+  const auto Response = Client.call(Call);
+  return Response && Response->Status == 200;
 }
 
-bool Deployment::orderStore(const std::string &Path) {
-  return order(Store->value("control"), Path);
+bool Deployment::controlStore(const std::string &Path) {
+  return sendControl(Store->value("control"), Path);
 }
 
-bool Deployment::orderAgentProxy(int I, const std::string &Path) {
-  return order(AgentProxies[I]->value("control"), Path);
+bool Deployment::controlMinionAgentProxy(int I, const std::string &Path) {
+  return sendControl(MinionAgentProxies[I]->value("control"), Path);
 }
 
-bool Deployment::orderEntryProxy(int I, const std::string &Path) {
-  return order(EntryProxies[I]->value("control"), Path);
+bool Deployment::controlEntryProxy(int I, const std::string &Path) {
+  return sendControl(EntryProxies[I]->value("control"), Path);
 }
 
-bool Deployment::orderStoreProxy(const std::string &Path) {
-  return order(StoreProxy->value("control"), Path);
+bool Deployment::controlStoreProxy(const std::string &Path) {
+  return sendControl(StoreProxy->value("control"), Path);
 }
 
 CallResult Deployment::call(int Entry, const std::string &Method,
                             const std::string &Path, const std::string &Body,
                             const std::string &Token, const std::string &Key,
-                            int PatienceMs) {
-  HttpClient Client(entryHttp(Entry));
+                            int TimeoutMs) {
+  HttpClient Client(entryHttpAddress(Entry));
   HttpCall Call;
   Call.Method = Method;
   Call.Path = Path;
   Call.Body = Body;
-  Call.Patience = Milliseconds(PatienceMs);
+  Call.Patience = Milliseconds(TimeoutMs);
   if (!Token.empty())
     Call.Headers["Authorization"] = "Bearer " + Token;
   if (!Key.empty())
     Call.Headers["Idempotency-Key"] = Key;
-  const auto Answer = Client.call(Call);
+  const auto Response = Client.call(Call);
   CallResult Result;
-  if (!Answer)
+  if (!Response)
     return Result;
-  Result.Status = Answer->Status;
-  Result.Body = Answer->Body;
-  const std::size_t At = Result.Body.find("\"outcome\":\"");
+  Result.Status = Response->Status;
+  Result.Body = Response->Body;
+  const std::size_t OutcomeAt = Result.Body.find("\"outcome\":\"");
   Result.Outcome = "answered";
-  if (Result.Status != 200 && Result.Status != 202 && At != std::string::npos) {
-    const std::size_t From = At + 11;
+  if (Result.Status != 200 && Result.Status != 202 &&
+      OutcomeAt != std::string::npos) {
+    const std::size_t From = OutcomeAt + 11;
     Result.Outcome =
         Result.Body.substr(From, Result.Body.find('"', From) - From);
   }
@@ -293,7 +297,7 @@
 CallResult Deployment::request(int Entry, const std::string &Body,
                                bool Idempotent, const std::string &Key,
                                int DeadlineMs, const std::string &Token) {
-  HttpClient Client(entryHttp(Entry));
+  HttpClient Client(entryHttpAddress(Entry));
   HttpCall Call;
   Call.Path = std::string("/v1/services/") + Service + "/requests";
   Call.Body = Body;
@@ -304,12 +308,12 @@
   Call.Headers["X-Deadline-Ms"] = std::to_string(DeadlineMs);
   if (!Key.empty())
     Call.Headers["Idempotency-Key"] = Key;
-  const auto Answer = Client.call(Call);
+  const auto Response = Client.call(Call);
   CallResult Result;
-  if (!Answer)
+  if (!Response)
     return Result;
-  Result.Status = Answer->Status;
-  Result.Body = Answer->Body;
+  Result.Status = Response->Status;
+  Result.Body = Response->Body;
   Result.Outcome = "answered";
   if (Result.Status != 200) {
     Result.Outcome = "unknown";
@@ -321,29 +325,29 @@
 
 std::string Deployment::submit(int Entry, const std::string &Spec,
                                const std::string &Key) {
-  const CallResult Answer =
+  const CallResult Response =
       call(Entry, "POST", "/v1/jobs", Spec, CallerToken, Key);
   wire::JobRecord Record;
-  if (Answer.Status != 202 || !fromJson(Answer.Body, Record))
+  if (Response.Status != 202 || !fromJson(Response.Body, Record))
     return {};
   return Record.id();
 }
 
 wire::JobRecord Deployment::job(int Entry, const std::string &Id) {
   wire::JobRecord Record;
-  const CallResult Answer =
+  const CallResult Response =
       call(Entry, "GET", "/v1/jobs/" + Id, "", OperatorToken);
-  if (Answer.Status == 200)
-    (void)fromJson(Answer.Body, Record);
+  if (Response.Status == 200)
+    (void)fromJson(Response.Body, Record);
   return Record;
 }
 
-bool Deployment::waitJob(int Entry, const std::string &Id, wire::JobState State,
-                         double Seconds) {
+bool Deployment::waitForJob(int Entry, const std::string &Id,
+                            wire::JobState State, double Seconds) {
   return waitFor([&] { return job(Entry, Id).state() == State; }, Seconds);
 }
 
-std::string Deployment::baseFiles(const std::string &Extra) const {
+std::string Deployment::configurationText(const std::string &Extra) const {
   const auto Digest = [](const char *Token) { return sha256Hex(Token); };
   return std::string("operators:\n  yuki: {token: ") + Digest(OperatorToken) +
          "}\nservices:\n  " + Service +
@@ -360,7 +364,7 @@
   Change.set_change_id(ChangeId);
   auto *File = Change.add_files();
   File->set_name("10-all.yaml");
-  File->set_content(baseFiles(WorkspaceExtra));
+  File->set_content(configurationText(WorkspaceExtra));
   return call(Entry, "POST", "/v1/configuration", toJson(Change));
 }
 
@@ -370,11 +374,11 @@
   Call.Method = "GET";
   Call.Path = "/v1/state";
   Call.Headers["Authorization"] = std::string("Bearer ") + OperatorToken;
-  const auto Answer = Client.call(Call);
-  if (!Answer || Answer->Status != 200)
+  const auto Response = Client.call(Call);
+  if (!Response || Response->Status != 200)
     return nullptr;
   Poco::JSON::Parser Parser;
-  return Parser.parse(Answer->Body).extract<Poco::JSON::Object::Ptr>();
+  return Parser.parse(Response->Body).extract<Poco::JSON::Object::Ptr>();
 }
 
 int Deployment::coordinator() {
@@ -390,22 +394,23 @@
   return -1;
 }
 
-std::uint64_t Deployment::leastVersion() {
-  std::uint64_t Least = UINT64_MAX;
-  const auto Look = [&](const std::vector<std::unique_ptr<Process>> &List) {
-    for (const auto &Each : List) {
-      if (!Each->running())
-        continue;
-      const auto Dump = state(Each->value("http"));
-      Least = std::min(
-          Least,
-          Dump ? Dump->getValue<std::uint64_t>("configuration_version") : 0);
-    }
-  };
-  Look(Entries);
-  Look(MinionAgents);
-  Look(WorkerAgents);
-  return Least;
+std::uint64_t Deployment::lowestVersion() {
+  std::uint64_t Lowest = UINT64_MAX;
+  const auto CollectVersions =
+      [&](const std::vector<std::unique_ptr<Process>> &List) {
+        for (const auto &Each : List) {
+          if (!Each->running())
+            continue;
+          const auto Dump = state(Each->value("http"));
+          Lowest = std::min(Lowest, Dump ? Dump->getValue<std::uint64_t>(
+                                               "configuration_version")
+                                         : 0);
+        }
+      };
+  CollectVersions(Entries);
+  CollectVersions(MinionAgents);
+  CollectVersions(WorkerAgents);
+  return Lowest;
 }
 
 bool Deployment::waitFor(const std::function<bool()> &Condition,
@@ -415,7 +420,7 @@
   while (!Condition()) {
     if (monotonicNow() > Deadline)
       return false;
-    std::this_thread::sleep_for(LookPeriod);
+    std::this_thread::sleep_for(PollPeriod);
   }
   return true;
 }
@@ -434,9 +439,9 @@
   for (const std::string &Line : journal(Name)) {
     std::istringstream Words(Line);
     std::string Time;
-    std::string What;
-    Words >> Time >> What;
-    if (What == Event)
+    std::string LineEvent;
+    Words >> Time >> LineEvent;
+    if (LineEvent == Event)
       Lines.push_back(Line);
   }
   return Lines;
@@ -444,13 +449,14 @@
 
 std::vector<std::string> Deployment::minionRuns() const {
   std::vector<std::string> All;
-  for (int I = 0; I < Plan.Minions; ++I)
+  for (int I = 0; I < Options.Minions; ++I)
     for (const std::string &Line : journal(indexed("minion", I), "run"))
       All.push_back(Line);
   return All;
 }
 
-std::vector<std::string> ranTwice(const std::vector<std::string> &RunLines) {
+std::vector<std::string>
+findDuplicateRuns(const std::vector<std::string> &RunLines) {
   std::map<std::string, int> Counts;
   for (const std::string &Line : RunLines) {
     std::istringstream Words(Line);
@@ -460,11 +466,11 @@
     Words >> Time >> Event >> Name;
     ++Counts[Name];
   }
-  std::vector<std::string> Twice;
+  std::vector<std::string> Duplicates;
   for (const auto &[Name, Count] : Counts)
     if (Count > 1)
-      Twice.push_back(Name);
-  return Twice;
+      Duplicates.push_back(Name);
+  return Duplicates;
 }
 
 } // namespace baobabcove::testing
--- a/tests/support/Deployment.h
+++ b/tests/support/Deployment.h
@@ -1,6 +1,3 @@
-/// \file
-/// A small deployment of real processes with stand-ins and faults.
-
 #ifndef BAOBABCOVE_TESTS_SUPPORT_DEPLOYMENT_H
 #define BAOBABCOVE_TESTS_SUPPORT_DEPLOYMENT_H
 
@@ -19,39 +16,41 @@
 
 namespace baobabcove::testing {
 
-/// How a deployment is built.
-struct DeploymentPlan {
+/// Size and settings of a test deployment.
+struct DeploymentOptions {
   int Entries = 2;
   int Minions = 0;
   int Workers = 0;
-  /// Puts a proxy between the agents and each minion's callers, that is, in
-  /// front of each agent's address for calls.
-  bool ProxyAgents = false;
-  /// The same for the agents of workers.
-  bool ProxyWorkers = false;
-  /// Puts a proxy in front of each entry's address for calls.
+  /// Puts a proxy in front of the RPC address of each minion's agent.
+  bool ProxyMinionAgents = false;
+  /// Puts a proxy in front of the RPC address of each worker's agent.
+  bool ProxyWorkerAgents = false;
+  /// Puts a proxy in front of the RPC address of each entry.
   bool ProxyEntries = false;
   /// Puts a proxy in front of the store.
   bool ProxyStore = false;
   int MinionWorkMs = 5;
-  /// More settings of every entry and every agent, as YAML lines.
+  /// Additional settings of every entry, as YAML lines.
   std::string EntrySettings;
+  /// Additional settings of every agent, as YAML lines.
   std::string AgentSettings;
 };
 
-/// A caller's answer together with what it says of the outcome.
+/// Response to a call, with the outcome that it reports.
 struct CallResult {
   int Status = 0;
   std::string Body;
-  /// "answered", "not run", "unknown", or empty when no answer came.
+  /// "answered", "not run", "unknown", or empty when there was no response.
   std::string Outcome;
 };
 
-/// Starts the processes, applies a configuration, and offers the calls that
-/// tests need. Every wait is for a condition, with a generous limit.
+/// A deployment of real daemons with stand-ins of the store, minions and
+/// workers, whose faults tests can control. The constructor starts the
+/// processes and applies a configuration; the destructor kills them. Waits are
+/// for a condition, with a generous time limit.
 class Deployment {
 public:
-  explicit Deployment(const DeploymentPlan &Plan);
+  explicit Deployment(const DeploymentOptions &Options);
   ~Deployment();
 
   static constexpr const char *OperatorToken = "test-operator";
@@ -59,6 +58,7 @@
   static constexpr const char *OtherToken = "test-other";
   static constexpr const char *Service = "bench-planner";
 
+  /// Returns whether all processes started and have the configuration.
   bool ready() const { return Ready; }
 
   Process &store() { return *Store; }
@@ -68,63 +68,70 @@
   Process &worker(int I) { return *Workers[I]; }
   Process &workerAgent(int I) { return *WorkerAgents[I]; }
 
-  /// Starts a process again under its old name, with new addresses.
+  /// Kills a process and starts it again under the same name. Returns whether
+  /// it got ready. Entries and agents get new addresses; a minion or worker
+  /// that was still running keeps its address.
   bool restartEntry(int I);
   bool restartMinionAgent(int I);
   bool restartWorkerAgent(int I);
   bool restartWorker(int I);
   bool restartMinion(int I);
 
-  /// Orders a fault of a stand-in by its control address and path.
-  static bool order(const std::string &Address, const std::string &Path);
-  bool orderStore(const std::string &Path);
-  bool orderAgentProxy(int I, const std::string &Path);
-  bool orderEntryProxy(int I, const std::string &Path);
-  bool orderStoreProxy(const std::string &Path);
+  /// Sends a control request to a stand-in; returns whether it succeeded.
+  static bool sendControl(const std::string &Address, const std::string &Path);
+  bool controlStore(const std::string &Path);
+  bool controlMinionAgentProxy(int I, const std::string &Path);
+  bool controlEntryProxy(int I, const std::string &Path);
+  bool controlStoreProxy(const std::string &Path);
 
-  /// Cuts processes of odd number, with their region, from those of even
-  /// number and from the store, or heals the cut. It needs every proxy.
-  bool cutRegions(bool Cut);
+  /// Starts or ends a network partition between the daemons with odd numbers on
+  /// one side and those with even numbers and the store on the other. Needs all
+  /// proxies.
+  bool partitionRegions(bool Partitioned);
 
   /// Sends a request through one entry.
   CallResult request(int Entry, const std::string &Body, bool Idempotent,
                      const std::string &Key = {}, int DeadlineMs = 5000,
                      const std::string &Token = CallerToken);
-  /// Makes any call to one entry.
+  /// Makes a call to the HTTP API of one entry.
   CallResult call(int Entry, const std::string &Method, const std::string &Path,
                   const std::string &Body,
                   const std::string &Token = OperatorToken,
-                  const std::string &Key = {}, int PatienceMs = 15000);
+                  const std::string &Key = {}, int TimeoutMs = 15000);
 
-  /// Submits a job and returns its id, or an empty text.
+  /// Submits a job. Returns its id, or an empty string when it was not
+  /// accepted.
   std::string submit(int Entry, const std::string &Spec,
                      const std::string &Key = {});
+  /// Returns the record of a job, or an empty one when it cannot be read.
   wire::JobRecord job(int Entry, const std::string &Id);
-  /// Waits until the job is in the state, at most \p Seconds.
-  bool waitJob(int Entry, const std::string &Id, wire::JobState State,
-               double Seconds = 40);
+  /// Waits at most \p Seconds until a job is in \p State.
+  bool waitForJob(int Entry, const std::string &Id, wire::JobState State,
+                  double Seconds = 40);
 
-  /// Applies files given as name and content; returns the answer.
+  /// Applies the base configuration on top of version \p BaseVersion.
+  /// \p WorkspaceExtra is appended to the settings of the workspace "other".
   CallResult apply(int Entry, std::uint64_t BaseVersion,
                    const std::string &WorkspaceExtra,
                    const std::string &ChangeId);
-  /// The state dump of a process at an HTTP address, or null.
+  /// Returns the state dump of the process at an HTTP address, or null.
   Poco::JSON::Object::Ptr state(const std::string &HttpAddress);
-  /// The index of the entry that holds the coordinator's role, or -1.
+  /// Returns the index of the entry that is the active coordinator, or -1.
   int coordinator();
-  /// Configuration version of every process, the least of them.
-  std::uint64_t leastVersion();
+  /// Returns the lowest configuration version of the running daemons; zero when
+  /// one of them does not respond.
+  std::uint64_t lowestVersion();
 
-  /// Waits for a condition; returns whether it came true in time.
+  /// Polls \p Condition at most \p Seconds; returns whether it became true.
   static bool waitFor(const std::function<bool()> &Condition,
                       double Seconds = 30);
 
-  /// Lines of a stand-in's journal that are of \p Event.
+  /// Returns the lines of a stand-in's journal with \p Event.
   std::vector<std::string> journal(const std::string &Name,
                                    const std::string &Event) const;
-  /// The whole journal of a stand-in.
+  /// Returns the whole journal of a stand-in.
   std::vector<std::string> journal(const std::string &Name) const;
-  /// All journals of minions, or of workers.
+  /// Returns the "run" lines of the journals of all minions.
   std::vector<std::string> minionRuns() const;
 
   std::string folder() const { return Folder; }
@@ -135,14 +142,17 @@
   bool startEntry(int I);
   bool startAgent(const std::string &Name, const std::string &Kind, int I,
                   const std::string &Target, Process &Agent);
-  std::vector<const Process *> region(int Odd) const;
-  const Process *proxyOf(const std::string &Kind, int I) const;
-  std::string baseFiles(const std::string &Extra) const;
-  std::string program(const std::string &Name) const;
-  std::string seeds() const;
-  std::string entryHttp(int I) const;
-
-  const DeploymentPlan Plan;
+  /// Returns the daemons with even numbers (0) or with odd numbers (1).
+  std::vector<const Process *> regionProcesses(int Odd) const;
+  /// Returns the proxy of an agent, or null when it has none.
+  const Process *agentProxy(const std::string &Kind, int I) const;
+  std::string configurationText(const std::string &Extra) const;
+  std::string programPath(const std::string &Name) const;
+  /// Returns the RPC addresses of the entries started so far, as a YAML list.
+  std::string entryAddressList() const;
+  std::string entryHttpAddress(int I) const;
+
+  const DeploymentOptions Options;
   std::string Folder;
   std::string StoreAddress;
   std::unique_ptr<Process> Store;
@@ -152,19 +162,19 @@
   std::vector<std::unique_ptr<Process>> MinionAgents;
   std::vector<std::unique_ptr<Process>> Workers;
   std::vector<std::unique_ptr<Process>> WorkerAgents;
-  std::vector<std::unique_ptr<Process>> AgentProxies;
-  std::vector<std::unique_ptr<Process>> WorkerProxies;
+  std::vector<std::unique_ptr<Process>> MinionAgentProxies;
+  std::vector<std::unique_ptr<Process>> WorkerAgentProxies;
   std::vector<std::unique_ptr<Process>> EntryProxies;
-  std::vector<std::string> EntryRpc;
-  /// Callers go on while entries are started again.
+  std::vector<std::string> EntryRpcAddresses;
+  /// Guards EntryHttpAddresses, which callers read while entries restart.
   mutable std::mutex AddressMutex;
-  std::vector<std::string> EntryHttp;
+  std::vector<std::string> EntryHttpAddresses;
   bool Ready = false;
 };
 
-/// Checks journals against the rule that each name runs at most once; returns
-/// the names that ran more often.
-std::vector<std::string> ranTwice(const std::vector<std::string> &RunLines);
+/// Returns the names that are in more than one of the "run" lines of journals.
+std::vector<std::string>
+findDuplicateRuns(const std::vector<std::string> &RunLines);
 
 } // namespace baobabcove::testing
 
--- a/tests/support/FakeKv.h
+++ b/tests/support/FakeKv.h
@@ -1,6 +1,3 @@
-/// \file
-/// A store in memory for tests, whose answers can be lost or refused.
-
 #ifndef BAOBABCOVE_TESTS_SUPPORT_FAKEKV_H
 #define BAOBABCOVE_TESTS_SUPPORT_FAKEKV_H
 
@@ -12,38 +9,39 @@
 
 namespace baobabcove {
 
-/// Keeps revisions like the platform's store. Thread-safe.
+/// An in-memory store for tests, with the revisions and leases of the
+/// platform's store and injected faults. Thread-safe.
 class FakeKv : public TransactionalStore {
 public:
-  /// What happens to the next writes.
+  /// Fault that affects the following calls.
   enum class Fault {
     None,
-    /// Refused, nothing is done.
+    /// Calls except revoke() fail with StoreUnavailable and have no effect.
     Away,
-    /// Done, but the answer is lost.
+    /// Commits take effect, but fail with StoreAnswerLost.
     AnswerLost,
-    /// Not done now, the answer is lost; done later by runLate().
+    /// Commits fail with StoreAnswerLost and take effect in runLate().
     Late,
   };
 
   void setFault(Fault Next) {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    Mode = Next;
+    ActiveFault = Next;
   }
-  /// Forgets the history of changes.
+  /// Drops the history of changes, as a compaction of the store does.
   void compact() {
     const std::lock_guard<std::mutex> Lock(Mutex);
     History.clear();
-    Forgotten = Revision;
+    CompactedRevision = Revision;
   }
-  /// Carries out writes that were held back, as far as their conditions hold.
+  /// Applies the commits delayed by Fault::Late whose conditions hold.
   void runLate() {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    for (const Transaction &Change : Held)
+    for (const Transaction &Change : DelayedCommits)
       apply(Change);
-    Held.clear();
+    DelayedCommits.clear();
   }
-  /// Ends a lease as if its time had run out.
+  /// Ends a lease as if it had expired.
   void expire(std::int64_t Lease) {
     const std::lock_guard<std::mutex> Lock(Mutex);
     endLease(Lease);
@@ -61,22 +59,22 @@
   Expected<CommitResult> commit(const Transaction &Change) override {
     const std::lock_guard<std::mutex> Lock(Mutex);
     ++Commits;
-    if (Mode == Fault::Away)
-      return failure(ResultCode::StoreUnavailable, "away");
-    if (Mode == Fault::Late) {
-      Held.push_back(Change);
-      return failure(ResultCode::StoreAnswerLost, "lost");
+    if (ActiveFault == Fault::Away)
+      return failure(ResultCode::StoreUnavailable, "the store is unavailable");
+    if (ActiveFault == Fault::Late) {
+      DelayedCommits.push_back(Change);
+      return failure(ResultCode::StoreAnswerLost, "the response was lost");
     }
     CommitResult Result = apply(Change);
-    if (Mode == Fault::AnswerLost)
-      return failure(ResultCode::StoreAnswerLost, "lost");
+    if (ActiveFault == Fault::AnswerLost)
+      return failure(ResultCode::StoreAnswerLost, "the response was lost");
     return Result;
   }
 
   Expected<std::optional<StoreItem>> read(const std::string &Key) override {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    if (Mode == Fault::Away)
-      return failure(ResultCode::StoreUnavailable, "away");
+    if (ActiveFault == Fault::Away)
+      return failure(ResultCode::StoreUnavailable, "the store is unavailable");
     const auto Found = Items.find(Key);
     if (Found == Items.end())
       return std::optional<StoreItem>();
@@ -85,45 +83,46 @@
 
   Expected<StoreChanges> list(const std::string &Prefix) override {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    if (Mode == Fault::Away)
-      return failure(ResultCode::StoreUnavailable, "away");
-    StoreChanges All;
+    if (ActiveFault == Fault::Away)
+      return failure(ResultCode::StoreUnavailable, "the store is unavailable");
+    StoreChanges Result;
     for (const auto &[Key, Item] : Items)
       if (Key.rfind(Prefix, 0) == 0)
-        All.Items.push_back(Item);
-    All.Revision = Revision;
-    return All;
+        Result.Items.push_back(Item);
+    Result.Revision = Revision;
+    return Result;
   }
 
   Expected<StoreChanges> changes(const std::string &Prefix, std::int64_t After,
                                  Milliseconds) override {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    if (Mode == Fault::Away)
-      return failure(ResultCode::StoreUnavailable, "away");
-    if (After < Forgotten)
-      return failure(ResultCode::CompareFailed, "history gone");
-    StoreChanges News;
-    News.Revision = Revision;
+    if (ActiveFault == Fault::Away)
+      return failure(ResultCode::StoreUnavailable, "the store is unavailable");
+    if (After < CompactedRevision)
+      return failure(ResultCode::CompareFailed,
+                     "the revision has been compacted");
+    StoreChanges Changes;
+    Changes.Revision = Revision;
     for (const auto &[At, Item] : History)
       if (At > After && Item.Key.rfind(Prefix, 0) == 0)
-        News.Items.push_back(Item);
-    return News;
+        Changes.Items.push_back(Item);
+    return Changes;
   }
 
   Expected<std::int64_t> grant(Milliseconds) override {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    if (Mode == Fault::Away)
-      return failure(ResultCode::StoreUnavailable, "away");
+    if (ActiveFault == Fault::Away)
+      return failure(ResultCode::StoreUnavailable, "the store is unavailable");
     Leases[++LastLease];
     return LastLease;
   }
 
   Expected<void> renew(std::int64_t Lease) override {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    if (Mode == Fault::Away)
-      return failure(ResultCode::StoreUnavailable, "away");
+    if (ActiveFault == Fault::Away)
+      return failure(ResultCode::StoreUnavailable, "the store is unavailable");
     if (!Leases.count(Lease))
-      return failure(ResultCode::CompareFailed, "ended");
+      return failure(ResultCode::CompareFailed, "the lease has expired");
     return {};
   }
 
@@ -139,15 +138,16 @@
 private:
   CommitResult apply(const Transaction &Change) {
     CommitResult Result;
-    bool Holds = true;
+    bool ConditionsHold = true;
     for (const StoreCondition &Condition : Change.Conditions) {
       const auto Found = Items.find(Condition.Key);
-      const std::int64_t Is = Found == Items.end() ? 0 : Found->second.Revision;
-      Holds = Holds && Is == Condition.Revision;
+      const std::int64_t CurrentRevision =
+          Found == Items.end() ? 0 : Found->second.Revision;
+      ConditionsHold = ConditionsHold && CurrentRevision == Condition.Revision;
       if (Found != Items.end())
         Result.Current.push_back(Found->second);
     }
-    if (!Holds)
+    if (!ConditionsHold)
       return Result;
     Result.Current.clear();
     ++Revision;
@@ -184,15 +184,15 @@
   }
 
   std::mutex Mutex;
-  Fault Mode = Fault::None;
+  Fault ActiveFault = Fault::None;
   int Commits = 0;
   std::int64_t Revision = 1;
-  std::int64_t Forgotten = 0;
+  std::int64_t CompactedRevision = 0;
   std::int64_t LastLease = 0;
   std::map<std::string, StoreItem> Items;
   std::map<std::int64_t, std::vector<std::string>> Leases;
   std::vector<std::pair<std::int64_t, StoreItem>> History;
-  std::deque<Transaction> Held;
+  std::deque<Transaction> DelayedCommits;
 };
 
 } // namespace baobabcove
--- a/tests/support/GangJournal.h
+++ b/tests/support/GangJournal.h
@@ -1,5 +1,6 @@
 /// \file
-/// Judges from workers' journals whether gangs ran whole and never twice.
+/// Checks by the workers' journals that gangs run completely or not at all, and
+/// that the attempts of a job do not overlap.
 
 #ifndef BAOBABCOVE_TESTS_SUPPORT_GANGJOURNAL_H
 #define BAOBABCOVE_TESTS_SUPPORT_GANGJOURNAL_H
@@ -11,26 +12,29 @@
 
 namespace baobabcove::testing {
 
-/// One part of one attempt, as a worker's journal has it. Times in ms.
+/// Run of one worker's part of an attempt. Times are in ms of the monotonic
+/// clock.
 struct PartRun {
   std::string Job;
   std::uint64_t Attempt = 0;
   std::int64_t Start = 0;
   std::int64_t End = INT64_MAX;
   std::uint32_t Accelerators = 0;
-  std::string How;
+  /// How the run ended: the state in the journal, or "killed" with its worker.
+  std::string Ending;
 };
 
-/// Reads the whole journal of one worker.
-std::vector<PartRun> readParts(const std::vector<std::string> &Lines);
+/// Parses the whole journal of one worker. Runs without an end, which were
+/// killed with their worker, end at the worker's last event.
+std::vector<PartRun> parsePartRuns(const std::vector<std::string> &Lines);
 
-/// What was wrong, one sentence each: attempts of a job that overlap, and
-/// parts that ran for longer than \p LeaseMs without their whole gang.
-/// \p GangSize gives each job's accelerators.
+/// Returns a description of each violation: attempts of a job that overlap, and
+/// incomplete gangs that ran for longer than \p MaxPartialRunMs.
+/// \p GangAccelerators holds the number of accelerators of each job's gang.
 std::vector<std::string>
-gangFaults(const std::vector<PartRun> &Parts,
-           const std::map<std::string, std::uint32_t> &GangSize,
-           std::int64_t LeaseMs);
+findGangViolations(const std::vector<PartRun> &Parts,
+                   const std::map<std::string, std::uint32_t> &GangAccelerators,
+                   std::int64_t MaxPartialRunMs);
 
 } // namespace baobabcove::testing
 
--- a/tests/support/Process.cpp
+++ b/tests/support/Process.cpp
@@ -15,14 +15,16 @@
 
 namespace {
 
-constexpr int ReadyPatienceMs = 30000;
+constexpr int ReadyTimeoutMs = 30000;
 
-/// Reads from a pipe until the ready line has come; empty when it has not.
-std::string readReadyLine(int From) {
+/// Reads lines from a pipe until one begins with "ready". Returns it, or an
+/// empty string when the pipe ends or is silent for ReadyTimeoutMs.
+std::string readReadyLine(int ReadEnd) {
   std::string Text;
   char Byte = 0;
-  pollfd Wait{From, POLLIN, 0};
-  while (::poll(&Wait, 1, ReadyPatienceMs) > 0 && ::read(From, &Byte, 1) == 1) {
+  pollfd Poll{ReadEnd, POLLIN, 0};
+  while (::poll(&Poll, 1, ReadyTimeoutMs) > 0 &&
+         ::read(ReadEnd, &Byte, 1) == 1) {
     if (Byte != '\n') {
       Text += Byte;
       continue;
@@ -83,11 +85,11 @@
   Id = -1;
 }
 
-void Process::freeze() const { ::kill(Id, SIGSTOP); }
-void Process::thaw() const { ::kill(Id, SIGCONT); }
+void Process::pause() const { ::kill(Id, SIGSTOP); }
+void Process::resume() const { ::kill(Id, SIGCONT); }
 void Process::terminate() const { ::kill(Id, SIGTERM); }
 
-bool Process::waitEnd(double Seconds) {
+bool Process::waitForExit(double Seconds) {
   for (double Waited = 0; Waited < Seconds; Waited += 0.02) {
     if (::waitpid(Id, nullptr, WNOHANG) == Id) {
       Id = -1;
--- a/tests/support/Process.h
+++ b/tests/support/Process.h
@@ -1,6 +1,3 @@
-/// \file
-/// A process of a test deployment.
-
 #ifndef BAOBABCOVE_TESTS_SUPPORT_PROCESS_H
 #define BAOBABCOVE_TESTS_SUPPORT_PROCESS_H
 
@@ -12,8 +9,8 @@
 
 namespace baobabcove::testing {
 
-/// Starts a program, reads the values of its "ready" line, and ends it with
-/// the test. Its log goes to a file.
+/// A process of a test deployment. It is killed by the destructor, and also
+/// when the test process dies.
 class Process {
 public:
   Process() = default;
@@ -21,20 +18,27 @@
   Process &operator=(const Process &) = delete;
   ~Process() { kill(); }
 
-  /// Starts the program and waits until it is ready; returns whether it is.
+  /// Starts a program with its standard error appended to \p LogPath, and waits
+  /// until it prints its "ready" line. Returns false when it does not print it
+  /// in time.
   bool start(const std::vector<std::string> &Command,
              const std::string &LogPath);
 
-  /// The value of a key of the ready line.
+  /// Returns the value of a key of the ready line. Throws std::out_of_range for
+  /// an unknown key.
   const std::string &value(const std::string &Key) const;
 
+  /// Kills the process and waits for its end.
   void kill();
-  void freeze() const;
-  void thaw() const;
-  /// Asks for graceful shutdown.
+  /// Suspends the process with SIGSTOP.
+  void pause() const;
+  /// Continues a suspended process.
+  void resume() const;
+  /// Requests a graceful shutdown with SIGTERM.
   void terminate() const;
-  /// Waits until the process has ended, at most \p Seconds.
-  bool waitEnd(double Seconds);
+  /// Waits at most \p Seconds until the process has exited; returns whether it
+  /// has.
+  bool waitForExit(double Seconds);
   bool running() const { return Id > 0; }
   std::string id() const { return std::to_string(Id); }
 
--- a/tests/support/TestMain.cpp
+++ b/tests/support/TestMain.cpp
@@ -5,7 +5,8 @@
 #include <CppUTest/TestRegistry.h>
 
 int main(int ArgumentCount, char **Arguments) {
-  // Libraries keep caches for the life of the process, which are no leaks.
+  // Libraries keep caches until the process exits, which would be reported as
+  // leaks.
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   baobabcove::startLogging("tests", "tests", baobabcove::LogFormat::Text);
   log4cplus::Logger::getRoot().setLogLevel(log4cplus::OFF_LOG_LEVEL);
