--- a/src/cli/ConfigurationVerbs.cpp
+++ b/src/cli/ConfigurationVerbs.cpp
@@ -55,8 +55,8 @@
   if (!Response)
     return tl::unexpected<Error>(Response.error());
   wire::ConfigurationBundle Bundle;
-  // Before the first configuration there are no tokens, so the entry rejects
-  // every caller; the bundle stays empty with version 0.
+  // Before the first configuration the entry cannot identify any caller and
+  // refuses the call; the bundle then stays empty, with version 0.
   if (Response->Status != HttpOk)
     return Bundle;
   if (auto Parsed = fromJson(Response->Body, Bundle); !Parsed)
--- a/standins/ProxyMain.cpp
+++ b/standins/ProxyMain.cpp
@@ -241,7 +241,7 @@
     }
     Server.close();
   } catch (const Poco::Exception &) {
-    // One end has closed its connection; closing the other one below tells it.
+    // One end has closed its connection; the other one is closed as well.
   }
   Client.close();
 }
--- a/standins/StoreState.h
+++ b/standins/StoreState.h
@@ -31,7 +31,7 @@
 
   /// Returns the events on keys in [\p Key, \p End) after the revision
   /// \p After, waiting for the first one at most \p Timeout. Sets \p After to
-  /// the present revision.
+  /// the current revision.
   std::vector<platform::Event> eventsAfter(const std::string &Key,
                                            const std::string &End,
                                            std::int64_t &After,
