--- a/src/tasks/CallGate.cpp
+++ b/src/tasks/CallAdmission.cpp
@@ -1,4 +1,4 @@
-#include "tasks/CallGate.h"
+#include "tasks/CallAdmission.h"
 
 namespace baobabcove {
 
@@ -21,7 +21,7 @@
   if (!Call.Queue)
     return failure(ResultCode::UnknownPath,
                    "No queue is configured for " + Host + Path + ".");
-  Call.Rest = Path.substr(Call.Queue->Prefix.size());
+  Call.PathSuffix = Path.substr(Call.Queue->Prefix.size());
   if (!Call.Queue->Anonymous || !Authorization.empty()) {
     if (Age >= MaxAge)
       return failure(ResultCode::StoreUnavailable,
--- a/src/tasks/CallGate.h
+++ b/src/tasks/CallAdmission.h
@@ -1,8 +1,8 @@
 /// \file
 /// Admission of client calls by queue, API key and age of the configuration.
 
-#ifndef BAOBABCOVE_TASKS_CALLGATE_H
-#define BAOBABCOVE_TASKS_CALLGATE_H
+#ifndef BAOBABCOVE_TASKS_CALLADMISSION_H
+#define BAOBABCOVE_TASKS_CALLADMISSION_H
 
 #include "baobabcove/Clock.h"
 #include "baobabcove/Ids.h"
@@ -21,7 +21,7 @@
   /// Empty for a call without an API key.
   WorkspaceId Workspace;
   /// The part of the path after the queue's prefix.
-  std::string Rest;
+  std::string PathSuffix;
 };
 
 /// Admits a call. Fails with Starting before the first configuration is loaded,
@@ -37,4 +37,4 @@
 
 } // namespace baobabcove
 
-#endif // BAOBABCOVE_TASKS_CALLGATE_H
+#endif // BAOBABCOVE_TASKS_CALLADMISSION_H
--- a/src/tasks/ConfigKeeper.cpp
+++ b/src/tasks/ConfigFollower.cpp
@@ -1,4 +1,4 @@
-#include "tasks/ConfigKeeper.h"
+#include "tasks/ConfigFollower.h"
 
 #include "base/Log.h"
 #include "base/LogFields.h"
@@ -14,23 +14,23 @@
 
 } // namespace
 
-ConfigKeeper::ConfigKeeper(TransactionalStore &Kv, std::string Prefix,
-                           std::string Key, ConfigReader Read)
+ConfigFollower::ConfigFollower(TransactionalStore &Kv, std::string Prefix,
+                               std::string Key, ConfigReader Read)
     : Key(std::move(Key)), Read(std::move(Read)),
       Follower(Kv, std::move(Prefix), WatchWait,
                {[this](const StoreChanges &All) { apply(All); },
                 [this](const StoreChanges &News) { apply(News); }}) {}
 
-std::shared_ptr<const QueueConfig> ConfigKeeper::current() const {
+std::shared_ptr<const QueueConfig> ConfigFollower::current() const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   return Newest;
 }
 
-Milliseconds ConfigKeeper::age() const {
+Milliseconds ConfigFollower::age() const {
   return BootClock::now() - Follower.confirmedAt();
 }
 
-void ConfigKeeper::apply(const StoreChanges &Changes) {
+void ConfigFollower::apply(const StoreChanges &Changes) {
   for (const StoreItem &Item : Changes.Items) {
     if (Item.Key != Key || Item.Revision == 0)
       continue;
--- a/src/tasks/ConfigKeeper.h
+++ b/src/tasks/ConfigFollower.h
@@ -1,5 +1,5 @@
-#ifndef BAOBABCOVE_TASKS_CONFIGKEEPER_H
-#define BAOBABCOVE_TASKS_CONFIGKEEPER_H
+#ifndef BAOBABCOVE_TASKS_CONFIGFOLLOWER_H
+#define BAOBABCOVE_TASKS_CONFIGFOLLOWER_H
 
 #include "baobabcove/Clock.h"
 #include "tasks/QueueConfig.h"
@@ -16,12 +16,12 @@
 
 /// Keeps the newest configuration from the store and tracks when it was last
 /// confirmed. Never returns to an older version. Thread-safe.
-class ConfigKeeper {
+class ConfigFollower {
 public:
   /// Watches \p Prefix and reads the configuration from \p Key, which must
   /// start with \p Prefix.
-  ConfigKeeper(TransactionalStore &Kv, std::string Prefix, std::string Key,
-               ConfigReader Read);
+  ConfigFollower(TransactionalStore &Kv, std::string Prefix, std::string Key,
+                 ConfigReader Read);
 
   void start() { Follower.start(); }
   void stop() { Follower.stop(); }
@@ -44,4 +44,4 @@
 
 } // namespace baobabcove
 
-#endif // BAOBABCOVE_TASKS_CONFIGKEEPER_H
+#endif // BAOBABCOVE_TASKS_CONFIGFOLLOWER_H
--- a/src/tasks/CoordinatorRole.cpp
+++ b/src/tasks/CoordinatorRole.cpp
@@ -46,7 +46,7 @@
     Thread.join();
 }
 
-void CoordinatorRole::noteSeat(bool Taken) {
+void CoordinatorRole::noteRoleKey(bool Taken) {
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
     RoleTaken = Taken;
--- a/src/tasks/CoordinatorRole.h
+++ b/src/tasks/CoordinatorRole.h
@@ -38,7 +38,7 @@
   void stop();
 
   /// Reports a change of the role key in the store: whether a process holds it.
-  void noteSeat(bool Taken);
+  void noteRoleKey(bool Taken);
 
   /// Returns the term if this process holds the role. The caller must not act
   /// on it unless isConfirmed() is true.
--- a/src/tasks/JobCatalog.cpp
+++ b/src/tasks/JobCatalog.cpp
@@ -33,7 +33,7 @@
   }
   apply(All);
   if (Listener)
-    Listener->onSeatChange();
+    Listener->onRoleKeyChange();
 }
 
 void JobCatalog::apply(const StoreChanges &Changes) {
@@ -121,7 +121,7 @@
       Holder = RoleHolder{Item.Value, Item.Revision};
   }
   if (Listener)
-    Listener->onSeatChange();
+    Listener->onRoleKeyChange();
 }
 
 std::optional<CatalogEntry> JobCatalog::find(const JobId &Id) const {
@@ -132,7 +132,7 @@
   return Found->second;
 }
 
-std::size_t JobCatalog::waiting(const std::string &Queue) const {
+std::size_t JobCatalog::pendingJobs(const std::string &Queue) const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   return static_cast<std::size_t>(
       std::count_if(Entries.begin(), Entries.end(), [&](const auto &Pair) {
@@ -147,7 +147,7 @@
   return Entries.size();
 }
 
-std::optional<RoleHolder> JobCatalog::seat() const {
+std::optional<RoleHolder> JobCatalog::roleHolder() const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   return Holder;
 }
--- a/src/tasks/JobCatalog.h
+++ b/src/tasks/JobCatalog.h
@@ -33,7 +33,7 @@
   virtual ~CatalogListener() = default;
   virtual void onJob(std::shared_ptr<const wire::TaskJobSpec> Spec) = 0;
   virtual void onCancel(const JobId &Id) = 0;
-  virtual void onSeatChange() = 0;
+  virtual void onRoleKeyChange() = 0;
 };
 
 /// In-memory copy of all jobs in the store, for answering clients. Thread-safe.
@@ -53,10 +53,10 @@
 
   std::optional<CatalogEntry> find(const JobId &Id) const;
   /// Returns the number of jobs of \p Queue of which no task has started.
-  std::size_t waiting(const std::string &Queue) const;
+  std::size_t pendingJobs(const std::string &Queue) const;
   std::size_t size() const;
   /// Returns nothing while no process holds the role.
-  std::optional<RoleHolder> seat() const;
+  std::optional<RoleHolder> roleHolder() const;
 
 private:
   void applyItem(const StoreItem &Item);
--- a/src/tasks/JobIntake.h
+++ b/src/tasks/JobIntake.h
@@ -30,7 +30,7 @@
   Expected<JobStatus> status(const JobId &Id);
 
   /// Returns how long the store has been unreachable.
-  Milliseconds storeAwayFor() const {
+  Milliseconds storeUnavailableFor() const {
     return Kv.health().awayFor(BootClock::now());
   }
 
--- a/src/tasks/TaskAgent.cpp
+++ b/src/tasks/TaskAgent.cpp
@@ -30,17 +30,18 @@
 /// Capacity of the order queue; a worker has a few dozen tasks at most.
 constexpr std::size_t MaxQueuedOrders = 1024;
 
-std::string incarnationName(const NodeId &Node, const WorkerBeat &Heartbeat) {
+std::string incarnationName(const NodeId &Node,
+                            const WorkerHeartbeat &Heartbeat) {
   return Node.str() + "/" + Heartbeat.Id + "#" +
-         std::to_string(Heartbeat.BornMs);
+         std::to_string(Heartbeat.StartedAtMs);
 }
 
 } // namespace
 
 TaskAgent::TaskAgent(AgentSettings Settings, TransactionalStore &Kv,
-                     LinkFactory Links, Metrics &Figures)
+                     LinkFactory Links, Metrics &Stats)
     : Settings(std::move(Settings)), Kv(Kv), Links(std::move(Links)),
-      Figures(Figures), Incarnation(static_cast<std::uint64_t>(wallClockMs())),
+      Stats(Stats), Incarnation(static_cast<std::uint64_t>(wallClockMs())),
       Queue(MaxQueuedOrders) {}
 
 TaskAgent::~TaskAgent() { stop(); }
@@ -65,12 +66,12 @@
       Thread.join();
 }
 
-void TaskAgent::beat(const WorkerBeat &Heartbeat) {
+void TaskAgent::onHeartbeat(const WorkerHeartbeat &Heartbeat) {
   const std::lock_guard<std::mutex> Lock(Mutex);
-  if (Worker &&
-      (Heartbeat.BornMs < Worker->BornMs ||
-       (Heartbeat.Id == Worker->Id && Heartbeat.BornMs == Worker->BornMs &&
-        Heartbeat.Sequence <= Worker->Sequence)))
+  if (Worker && (Heartbeat.StartedAtMs < Worker->StartedAtMs ||
+                 (Heartbeat.Id == Worker->Id &&
+                  Heartbeat.StartedAtMs == Worker->StartedAtMs &&
+                  Heartbeat.Sequence <= Worker->Sequence)))
     return;
   const bool StartsDraining =
       Heartbeat.Draining && !(Worker && Worker->Draining);
@@ -101,7 +102,7 @@
   }
 }
 
-void TaskAgent::leave(const std::string &Id) {
+void TaskAgent::onWorkerLeft(const std::string &Id) {
   const std::lock_guard<std::mutex> Lock(Mutex);
   if (!Worker || Worker->Id != Id)
     return;
@@ -333,11 +334,11 @@
   if (!Request.Link)
     return false;
   const BootInstant RequestedAt = BootClock::now();
-  const auto Listing = Request.Link->hold(
+  const auto Listing = Request.Link->renewAndList(
       Request.Deadline, Request.Acknowledged, Wait, Request.Term);
   const BootInstant Now = BootClock::now();
   if (!Listing) {
-    Figures.count("listing_failures");
+    Stats.count("listing_failures");
     return false;
   }
   applyListing(Request, *Listing, RequestedAt, Now);
@@ -349,7 +350,8 @@
                              BootInstant Now) {
   const std::lock_guard<std::mutex> Lock(Mutex);
   if (Request.Incarnation != WorkerName || !Worker ||
-      (Listing.BornMs && Worker->BornMs && Listing.BornMs != Worker->BornMs))
+      (Listing.StartedAtMs && Worker->StartedAtMs &&
+       Listing.StartedAtMs != Worker->StartedAtMs))
     return;
   std::set<RunId> Known;
   for (const wire::RunStatus &Run : Listing.Running)
--- a/src/tasks/TaskAgent.h
+++ b/src/tasks/TaskAgent.h
@@ -27,7 +27,7 @@
 
 /// Creates a link to the worker incarnation that sent the heartbeat.
 using LinkFactory =
-    std::function<std::unique_ptr<WorkerLink>(const WorkerBeat &)>;
+    std::function<std::unique_ptr<WorkerLink>(const WorkerHeartbeat &)>;
 
 /// Runs beside one worker: reports its state to the coordinator, carries out
 /// the coordinator's orders, and extends the lease of its runs while the
@@ -36,7 +36,7 @@
 class TaskAgent {
 public:
   TaskAgent(AgentSettings Settings, TransactionalStore &Kv, LinkFactory Links,
-            Metrics &Figures);
+            Metrics &Stats);
   ~TaskAgent();
 
   void start();
@@ -44,10 +44,10 @@
 
   /// Processes a heartbeat of the worker; one that is older than the last is
   /// ignored.
-  void beat(const WorkerBeat &Heartbeat);
+  void onHeartbeat(const WorkerHeartbeat &Heartbeat);
 
   /// Processes the announcement of the worker \p Id that it is terminating.
-  void leave(const std::string &Id);
+  void onWorkerLeft(const std::string &Id);
 
   std::string dump() const;
 
@@ -98,7 +98,7 @@
   const AgentSettings Settings;
   TransactionalStore &Kv;
   const LinkFactory Links;
-  Metrics &Figures;
+  Metrics &Stats;
   RpcPeers Peers;
   const std::uint64_t Incarnation;
 
@@ -110,7 +110,7 @@
   std::string Coordinator;
   std::uint64_t Sequence = 0;
 
-  std::optional<WorkerBeat> Worker;
+  std::optional<WorkerHeartbeat> Worker;
   std::shared_ptr<WorkerLink> Link;
   /// Identifies the worker incarnation; empty before the first heartbeat.
   std::string WorkerName;
--- a/src/tasks/TaskCoordinator.cpp
+++ b/src/tasks/TaskCoordinator.cpp
@@ -36,8 +36,8 @@
 
 TaskCoordinator::TaskCoordinator(TransactionalStore &Kv,
                                  CoordinatorSettings Settings,
-                                 ConfigSource Config, Metrics &Figures)
-    : Kv(Kv), Settings(Settings), Config(std::move(Config)), Figures(Figures),
+                                 ConfigSource Config, Metrics &Stats)
+    : Kv(Kv), Settings(Settings), Config(std::move(Config)), Stats(Stats),
       Tracker(Settings.RemotePenalty), Writer(Kv) {}
 
 TaskCoordinator::~TaskCoordinator() { stop(); }
@@ -119,7 +119,7 @@
   Wake.notify_all();
 }
 
-void TaskCoordinator::onSeatChange() { onRoleChange(); }
+void TaskCoordinator::onRoleKeyChange() { onRoleChange(); }
 
 void TaskCoordinator::run() {
   for (;;) {
@@ -151,7 +151,7 @@
   if (!Tracker.dirty().empty() && !persist(*Term))
     return;
   const BootInstant Now = BootClock::now();
-  Figures.count("rounds");
+  Stats.count("rounds");
   drainInbox();
   applyReports(Now);
   decide(Now);
@@ -283,8 +283,8 @@
     const Instant StartedAt = monotonicNow();
     const WriteOutcome Outcome =
         Writer.write(Term, Tracker.jobs(), Tracker.dirty());
-    Figures.sample("progress_write_ms",
-                   double((monotonicNow() - StartedAt).count()));
+    Stats.sample("progress_write_ms",
+                 double((monotonicNow() - StartedAt).count()));
     switch (Outcome) {
     case WriteOutcome::Written:
       break;
@@ -296,7 +296,7 @@
     }
   }
   const std::int64_t RemoveBefore =
-      wallClockMs() - (Settings.StatusKept + RemovalMargin).count();
+      wallClockMs() - (Settings.StatusRetention + RemovalMargin).count();
   for (auto Job = Tracker.jobs().begin(); Job != Tracker.jobs().end(); ++Job)
     if (Job->second.EndedMs && Job->second.EndedMs < RemoveBefore) {
       if (Writer.remove(Term, Job->first) == WriteOutcome::Written)
--- a/src/tasks/TaskCoordinator.h
+++ b/src/tasks/TaskCoordinator.h
@@ -26,7 +26,7 @@
   /// answer.
   Milliseconds Grant{6500};
   /// How long ended jobs are kept.
-  Milliseconds StatusKept{120000};
+  Milliseconds StatusRetention{120000};
   /// Factor by which work away from its data takes longer.
   double RemotePenalty = 3;
 };
@@ -40,7 +40,7 @@
   using ConfigSource = std::function<std::shared_ptr<const QueueConfig>()>;
 
   TaskCoordinator(TransactionalStore &Kv, CoordinatorSettings Settings,
-                  ConfigSource Config, Metrics &Figures);
+                  ConfigSource Config, Metrics &Stats);
   ~TaskCoordinator() override;
 
   /// \p Role must outlive the coordinator's thread.
@@ -56,7 +56,7 @@
 
   void onJob(std::shared_ptr<const wire::TaskJobSpec> Spec) override;
   void onCancel(const JobId &Id) override;
-  void onSeatChange() override;
+  void onRoleKeyChange() override;
 
   std::string dump() const;
 
@@ -80,7 +80,7 @@
   TransactionalStore &Kv;
   const CoordinatorSettings Settings;
   const ConfigSource Config;
-  Metrics &Figures;
+  Metrics &Stats;
   CoordinatorRole *Role = nullptr;
   std::function<void()> RoleKeyChanged;
 
--- a/src/tasks/WorkerLink.h
+++ b/src/tasks/WorkerLink.h
@@ -16,10 +16,10 @@
 namespace baobabcove {
 
 /// A heartbeat of a worker.
-struct WorkerBeat {
+struct WorkerHeartbeat {
   std::string Id;
   /// Unix time in milliseconds at which this incarnation of the worker started.
-  std::int64_t BornMs = 0;
+  std::int64_t StartedAtMs = 0;
   /// Increases with each heartbeat of an incarnation.
   std::int64_t Sequence = 0;
   ServiceName Service;
@@ -39,7 +39,7 @@
 
 /// Runs of a worker, and the ends that have not been acknowledged.
 struct WorkerRuns {
-  std::int64_t BornMs = 0;
+  std::int64_t StartedAtMs = 0;
   /// The worker's clock at the time of the answer.
   Milliseconds Clock{0};
   std::vector<wire::RunStatus> Running;
@@ -89,9 +89,9 @@
   /// Extends the lease of all runs to \p Deadline on the worker's clock (zero:
   /// no extension), discards ends up to \p Acknowledged and lists the rest.
   /// Waits for at most \p Wait for a new end.
-  virtual Expected<WorkerRuns> hold(Milliseconds Deadline,
-                                    std::uint64_t Acknowledged,
-                                    Milliseconds Wait, Epoch Term) = 0;
+  virtual Expected<WorkerRuns> renewAndList(Milliseconds Deadline,
+                                            std::uint64_t Acknowledged,
+                                            Milliseconds Wait, Epoch Term) = 0;
 };
 
 } // namespace baobabcove
--- a/tests/platform/CodecTest.cpp
+++ b/tests/platform/CodecTest.cpp
@@ -118,7 +118,7 @@
   LONGS_EQUAL(4000, Heartbeat->Remaining.count());
   LONGS_EQUAL(8, Heartbeat->Accelerators);
   STRCMP_EQUAL("r1-3", Heartbeat->Rack.str().c_str());
-  CHECK(Heartbeat->BornMs == 1790292317714);
+  CHECK(Heartbeat->StartedAtMs == 1790292317714);
 }
 
 TEST(Codec, RefusesMalformedHeartbeats) {
--- a/tests/tasks/CallAdmissionTest.cpp
+++ b/tests/tasks/CallAdmissionTest.cpp
@@ -1,4 +1,4 @@
-#include "tasks/CallGate.h"
+#include "tasks/CallAdmission.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -35,7 +35,7 @@
 TEST(CallAdmission, ChoosesTheLongestPrefix) {
   const auto Call = call("/a/b/00aa", "Bearer k1");
   STRCMP_EQUAL("long", Call->Queue->Name.c_str());
-  STRCMP_EQUAL("00aa", Call->Rest.c_str());
+  STRCMP_EQUAL("00aa", Call->PathSuffix.c_str());
   STRCMP_EQUAL("team", Call->Workspace.str().c_str());
 }
 
--- a/tests/tasks/CoordinatorRoleTest.cpp
+++ b/tests/tasks/CoordinatorRoleTest.cpp
@@ -18,24 +18,24 @@
 TEST(CoordinatorRole, IsHeldByOneProcessAtATime) {
   One.start();
   Two.start();
-  One.noteSeat(false);
+  One.noteRoleKey(false);
   CHECK_TRUE(comesTrue([&] { return One.term().has_value(); }));
   CHECK_TRUE(One.isConfirmed());
-  Two.noteSeat(false);
+  Two.noteRoleKey(false);
   std::this_thread::sleep_for(Milliseconds(50));
   CHECK_FALSE(Two.term().has_value());
 }
 
 TEST(CoordinatorRole, GoesToAnotherProcessWithAHigherEpochWhenReleased) {
   One.start();
-  One.noteSeat(false);
+  One.noteRoleKey(false);
   CHECK_TRUE(comesTrue([&] { return One.term().has_value(); }));
   const Epoch First = One.term()->Number;
   One.stop();
   CHECK_FALSE(One.isConfirmed());
   STRCMP_EQUAL("", Kv.value(keys::Coordinator).c_str());
   Two.start();
-  Two.noteSeat(false);
+  Two.noteRoleKey(false);
   CHECK_TRUE(comesTrue([&] { return Two.term().has_value(); }));
   CHECK_TRUE(First < Two.term()->Number);
 }
@@ -43,14 +43,14 @@
 TEST(CoordinatorRole, RecognizesItsOwnWriteWhenTheAnswerWasLost) {
   Kv.setFault(FakeKv::Fault::AnswerLost);
   One.start();
-  One.noteSeat(false);
+  One.noteRoleKey(false);
   CHECK_TRUE(comesTrue([&] { return One.term().has_value(); }));
 }
 
 TEST(CoordinatorRole, IsNotConfirmedOnceTheLeaseMayHaveExpired) {
   CoordinatorRole Short(Kv, "short 3:3", Milliseconds(400), [] {});
   Short.start();
-  Short.noteSeat(false);
+  Short.noteRoleKey(false);
   CHECK_TRUE(comesTrue([&] { return Short.term().has_value(); }));
   Kv.setFault(FakeKv::Fault::Away);
   CHECK_TRUE(comesTrue([&] { return !Short.isConfirmed(); }));
@@ -63,7 +63,7 @@
   int Changes = 0;
   CoordinatorRole Short(Kv, "short 3:3", Milliseconds(400), [&] { ++Changes; });
   Short.start();
-  Short.noteSeat(false);
+  Short.noteRoleKey(false);
   CHECK_TRUE(comesTrue([&] { return Short.term().has_value(); }));
   const Epoch First = Short.term()->Number;
   Kv.expire(1);
--- a/tests/tasks/JobCatalogTest.cpp
+++ b/tests/tasks/JobCatalogTest.cpp
@@ -1,7 +1,7 @@
 #include "tasks/JobCatalog.h"
 #include "ComesTrue.h"
 #include "FakeKv.h"
-#include "tasks/ConfigKeeper.h"
+#include "tasks/ConfigFollower.h"
 #include "tasks/StoreFollower.h"
 #include "tasks/StoreKeys.h"
 
@@ -30,8 +30,8 @@
   Progress.set_begun(true);
   Kv.put(keys::progress(JobId("b")), Progress.SerializeAsString());
   Catalog.replaceAll(*Kv.list(keys::All));
-  LONGS_EQUAL(1, Catalog.waiting("q"));
-  LONGS_EQUAL(0, Catalog.waiting("other"));
+  LONGS_EQUAL(1, Catalog.pendingJobs("q"));
+  LONGS_EQUAL(0, Catalog.pendingJobs("other"));
 }
 
 TEST(JobCatalog, SkipsRecordsThatCannotBeParsed) {
@@ -44,9 +44,9 @@
 TEST(JobCatalog, TracksTheRoleHolder) {
   Kv.put(keys::Coordinator, "node address nonce");
   Catalog.replaceAll(*Kv.list(keys::All));
-  STRCMP_EQUAL("node address nonce", Catalog.seat()->Value.c_str());
+  STRCMP_EQUAL("node address nonce", Catalog.roleHolder()->Value.c_str());
   Catalog.apply({{{keys::Coordinator, "", 0, 0}}, 9});
-  CHECK_FALSE(Catalog.seat().has_value());
+  CHECK_FALSE(Catalog.roleHolder().has_value());
 }
 
 TEST(JobCatalog, FollowsTheStoreAcrossAnOutageAndACompaction) {
@@ -66,12 +66,12 @@
 }
 
 TEST(JobCatalog, NeverReturnsToAnOlderConfiguration) {
-  ConfigKeeper Configuration(Kv, "op/", "op/config",
-                             [](const std::string &Text) {
-                               QueueConfig Config;
-                               Config.Version = std::stol(Text);
-                               return Expected<QueueConfig>(Config);
-                             });
+  ConfigFollower Configuration(Kv, "op/", "op/config",
+                               [](const std::string &Text) {
+                                 QueueConfig Config;
+                                 Config.Version = std::stol(Text);
+                                 return Expected<QueueConfig>(Config);
+                               });
   Kv.put("op/config", "7");
   Configuration.start();
   CHECK_TRUE(comesTrue([&] { return Configuration.current() != nullptr; }));
--- a/tests/tasks/TaskAgentTest.cpp
+++ b/tests/tasks/TaskAgentTest.cpp
@@ -51,8 +51,9 @@
     Worker.Barred.insert({Run.task(), Run.run()});
     return {CallOutcome::Done, wire::REFUSAL_REASON_UNSPECIFIED, ""};
   }
-  Expected<WorkerRuns> hold(Milliseconds Deadline, std::uint64_t Acknowledged,
-                            Milliseconds, Epoch) override {
+  Expected<WorkerRuns> renewAndList(Milliseconds Deadline,
+                                    std::uint64_t Acknowledged, Milliseconds,
+                                    Epoch) override {
     std::this_thread::sleep_for(Milliseconds(5));
     const std::lock_guard<std::mutex> Lock(Worker.Mutex);
     Worker.Deadline = std::max(Worker.Deadline, Deadline);
@@ -78,7 +79,7 @@
 TEST_GROUP(TaskAgent) {
   FakeKv Kv;
   FakeWorker Worker;
-  Metrics Figures;
+  Metrics Stats;
   std::mutex Mutex;
   wire::TaskOrders Orders;
   wire::TaskReport Last;
@@ -102,12 +103,12 @@
     Kv.put(keys::Coordinator, "front " + Coordinator->address() + " nonce");
     Agent = std::make_unique<TaskAgent>(
         AgentSettings{NodeId("n1"), DataCentreName("z")}, Kv,
-        [this](const WorkerBeat &) {
+        [this](const WorkerHeartbeat &) {
           return std::make_unique<FakeLink>(Worker);
         },
-        Figures);
+        Stats);
     Agent->start();
-    Agent->beat(heartbeat(7, 1));
+    Agent->onHeartbeat(heartbeat(7, 1));
   }
 
   void teardown() override {
@@ -117,10 +118,11 @@
     Coordinator.reset();
   }
 
-  static WorkerBeat heartbeat(std::int64_t StartedAt, std::int64_t Sequence) {
-    WorkerBeat Heartbeat;
+  static WorkerHeartbeat heartbeat(std::int64_t StartedAt,
+                                   std::int64_t Sequence) {
+    WorkerHeartbeat Heartbeat;
     Heartbeat.Id = "i-1";
-    Heartbeat.BornMs = StartedAt;
+    Heartbeat.StartedAtMs = StartedAt;
     Heartbeat.Sequence = Sequence;
     Heartbeat.Accelerators = 8;
     return Heartbeat;
@@ -193,7 +195,7 @@
 
 TEST(TaskAgent, IgnoresADelayedHeartbeatOfAnEarlierIncarnation) {
   CHECK_TRUE(comesTrue([&] { return last().complete(); }));
-  Agent->beat(heartbeat(6, 99));
+  Agent->onHeartbeat(heartbeat(6, 99));
   const std::uint64_t Sequence = last().sequence();
   CHECK_TRUE(comesTrue([&] { return last().sequence() > Sequence + 3; }));
   STRCMP_EQUAL("n1/i-1#7", last().worker().c_str());
@@ -201,7 +203,7 @@
 
 TEST(TaskAgent, ReportsADepartedWorkerAsAnIncarnationWithoutRuns) {
   CHECK_TRUE(comesTrue([&] { return last().complete(); }));
-  Agent->leave("i-1");
+  Agent->onWorkerLeft("i-1");
   CHECK_TRUE(comesTrue(
       [&] { return last().worker() == "n1/none#1" && last().complete(); }));
   CHECK_TRUE(last().draining());
