--- a/src/agent/AgentProcess.cpp
+++ b/src/agent/AgentProcess.cpp
@@ -52,7 +52,7 @@
   while (!Stopping) {
     std::this_thread::sleep_for(DiscoveryPeriod);
     const Instant Now = monotonicNow();
-    if (!Heartbeats->answering().empty())
+    if (!Heartbeats->respondingEntries().empty())
       AnsweredAt = Now;
     if (Now - AnsweredAt < DiscoveryDelay)
       continue;
@@ -69,7 +69,7 @@
 }
 
 Expected<void> AgentProcess::start() {
-  Heartbeats = std::make_unique<Announcer>(
+  Heartbeats = std::make_unique<HeartbeatSender>(
       Peers, ActiveConfig, Milliseconds(Options.HeartbeatMs),
       [this] { return buildHeartbeat(); },
       [this](const wire::HeartbeatReply &Reply, Instant SentAt) {
@@ -81,7 +81,7 @@
   else
     Worker = std::make_unique<WorkerController>(
         Options, Charts, makeHttpWorkerClient(Options.TargetAddress), Peers,
-        Stats, [this] { Heartbeats->nudge(); });
+        Stats, [this] { Heartbeats->sendNow(); });
   auto Served = serveRpc(Options.RpcAddress, nullptr, this);
   if (!Served)
     return tl::unexpected<Error>(Served.error());
@@ -107,7 +107,7 @@
   setDraining(true);
   // An entry that does not know that this agent is draining keeps sending
   // requests here, and they would be lost.
-  Heartbeats->tellAll(DrainNoticeTimeout);
+  Heartbeats->sendAndWait(DrainNoticeTimeout);
   std::this_thread::sleep_for(InTransitGrace);
   const bool Idle =
       Minion ? Minion->waitIdle(Timeout) : Worker->waitIdle(Timeout);
@@ -124,7 +124,7 @@
     Minion->setDraining(Draining);
   if (Worker)
     Worker->setDraining(Draining);
-  Heartbeats->nudge();
+  Heartbeats->sendNow();
 }
 
 wire::Heartbeat AgentProcess::buildHeartbeat() const {
@@ -181,7 +181,7 @@
   Out->set("incarnation", Incarnation);
   Out->set("configuration_version", ActiveConfig.version().value());
   Poco::JSON::Array::Ptr Entries = new Poco::JSON::Array;
-  for (const std::string &Address : Heartbeats->answering())
+  for (const std::string &Address : Heartbeats->respondingEntries())
     Entries->add(Address);
   Out->set("entries", Entries);
   if (Minion) {
--- a/src/agent/AgentProcess.h
+++ b/src/agent/AgentProcess.h
@@ -8,7 +8,7 @@
 #include "config/Settings.h"
 #include "http/Access.h"
 #include "http/HttpServer.h"
-#include "membership/Announcer.h"
+#include "membership/HeartbeatSender.h"
 #include "rpc/Rpc.h"
 #include "store/Store.h"
 
@@ -64,7 +64,7 @@
   std::unique_ptr<WorkerController> Worker;
   std::unique_ptr<RpcServer> Rpc;
   std::unique_ptr<HttpServer> Http;
-  std::unique_ptr<Announcer> Heartbeats;
+  std::unique_ptr<HeartbeatSender> Heartbeats;
   std::unique_ptr<Store> StoreClient;
   std::atomic<bool> Stopping{false};
   std::thread DiscoveryThread;
--- a/src/coordinator/Coordinator.cpp
+++ b/src/coordinator/Coordinator.cpp
@@ -2,7 +2,7 @@
 
 #include "base/Log.h"
 #include "base/StateDump.h"
-#include "coordinator/WireTypes.h"
+#include "coordinator/WireConversions.h"
 
 #include <algorithm>
 
@@ -32,13 +32,11 @@
 
 Coordinator::Coordinator(const Settings &Opts, const StateChart &JobChart,
                          Store &ClusterStore, RpcPeers &Peers,
-                         JobBook &JobRecords, const Members &Membership,
-                         ConfigurationKeeper &Configurations,
-                         Metrics &ProcessMetrics)
-    : Opts(Opts), JobStates(JobChart, ProcessMetrics),
-      ClusterStore(ClusterStore), JobRecords(JobRecords),
-      Membership(Membership), Configurations(Configurations),
-      ProcessMetrics(ProcessMetrics), Events(EventCapacity),
+                         JobBook &JobRecords, const MemberTable &Membership,
+                         ConfigurationKeeper &Configurations, Metrics &Stats)
+    : Opts(Opts), JobStates(JobChart, Stats), ClusterStore(ClusterStore),
+      JobRecords(JobRecords), Membership(Membership),
+      Configurations(Configurations), Stats(Stats), Events(EventCapacity),
       RecordWriter(JobRecords),
       Actions(Peers, JobRecords, RecordWriter, JobStates),
       LossDetector(lossTimeouts(Opts)), PublishedDump(makeDump()) {
@@ -65,12 +63,12 @@
 void Coordinator::enqueueWork(const std::string &Key, WorkItem Work) {
   const std::size_t Index = std::hash<std::string>()(Key) % ExecutorCount;
   if (!WorkQueues[Index]->tryPush(std::move(Work)))
-    ProcessMetrics.count("coordinator_orders_refused");
+    Stats.count("coordinator_orders_refused");
 }
 
 void Coordinator::roleChanged(Epoch Held) { postEvent(RoleEvent{Held}); }
 
-void Coordinator::memberHeard(const wire::Heartbeat &Heartbeat) {
+void Coordinator::heartbeatReceived(const wire::Heartbeat &Heartbeat) {
   if (Heartbeat.kind() != wire::MINION)
     postEvent(HeartbeatEvent{Heartbeat});
 }
@@ -127,7 +125,7 @@
   listJobsAndEntries();
   for (const auto &Each : Membership.alive(
            wire::WORKER, Milliseconds(Opts.WorkerSilenceMs), StageStartedAt))
-    requestInventory(Each.Beat);
+    requestInventory(Each.LastHeartbeat);
 }
 
 void Coordinator::listJobsAndEntries() {
@@ -324,7 +322,7 @@
     handleTransition(*Gang, Gangs.handleReport(*Gang, Heartbeat, Now));
   for (const wire::GangPart &Part : Heartbeat.worker().parts())
     if (Part.phase() == wire::RUNNING && Part.memory_mb_per_task() > 0) {
-      ProcessMetrics.count("usage_reports");
+      Stats.count("usage_reports");
       JobScheduler->usageReported(JobId(Part.job()), Part.memory_mb_per_task());
     }
   stopStrayParts(Heartbeat);
@@ -343,7 +341,7 @@
     Member.set_node(Heartbeat.node());
     Member.set_rpc_address(Heartbeat.rpc_address());
     Order.Members.push_back(Member);
-    ProcessMetrics.count("stray_parts_stopped");
+    Stats.count("stray_parts_stopped");
     enqueueWork(Part.job(), [this, Order] { Actions.stop(Order); });
   }
 }
@@ -370,7 +368,7 @@
   LOG4CPLUS_INFO(logOf("coordinator"), "Gang of job "
                                            << Order.Job << " not started: "
                                            << Received.Outcome.Reason.Detail);
-  ProcessMetrics.count("starts_refused");
+  Stats.count("starts_refused");
   Gangs.erase(Order.Job, Order.Number);
   JobScheduler->gangRefused(Order.Job, Order.Number,
                             NodeId(Received.Outcome.RefusingNode),
@@ -388,7 +386,7 @@
     handle(JobEvent{Job});
   for (const auto &Each : Membership.alive(
            wire::WORKER, Milliseconds(Opts.WorkerSilenceMs), monotonicNow()))
-    handle(HeartbeatEvent{Each.Beat});
+    handle(HeartbeatEvent{Each.LastHeartbeat});
 }
 
 void Coordinator::publishDump() {
--- a/src/coordinator/Coordinator.h
+++ b/src/coordinator/Coordinator.h
@@ -9,7 +9,7 @@
 #include "coordinator/JobRecordWriter.h"
 #include "coordinator/JobStateMachine.h"
 #include "coordinator/WorkerLossDetector.h"
-#include "membership/Members.h"
+#include "membership/MemberTable.h"
 
 #include <Poco/JSON/Object.h>
 
@@ -33,15 +33,15 @@
 public:
   Coordinator(const Settings &Opts, const StateChart &JobChart,
               Store &ClusterStore, RpcPeers &Peers, JobBook &JobRecords,
-              const Members &Membership, ConfigurationKeeper &Configurations,
-              Metrics &ProcessMetrics);
+              const MemberTable &Membership,
+              ConfigurationKeeper &Configurations, Metrics &Stats);
   ~Coordinator();
 
   /// Handles a change of the coordinator role: its epoch when it was acquired,
   /// zero when it was lost.
   void roleChanged(Epoch Held);
   /// Handles the heartbeat of a member.
-  void memberHeard(const wire::Heartbeat &Heartbeat);
+  void heartbeatReceived(const wire::Heartbeat &Heartbeat);
   /// Handles a change of a job record.
   void jobChanged(const StoredJob &Job);
   /// Handles a new configuration, which is already in force.
@@ -140,9 +140,9 @@
   const JobStateMachine JobStates;
   Store &ClusterStore;
   JobBook &JobRecords;
-  const Members &Membership;
+  const MemberTable &Membership;
   ConfigurationKeeper &Configurations;
-  Metrics &ProcessMetrics;
+  Metrics &Stats;
   Ring<Event> Events;
   std::atomic<bool> EventsDropped{false};
   std::vector<std::unique_ptr<Ring<WorkItem>>> WorkQueues;
--- a/src/coordinator/CoordinatorActions.cpp
+++ b/src/coordinator/CoordinatorActions.cpp
@@ -60,7 +60,7 @@
 void Coordinator::gangEnded(TrackedGang &Gang) {
   recordEnd(Gang);
   JobScheduler->gangEnded(Gang.Job, Gang.Number, Gang.End, monotonicNow());
-  ProcessMetrics.count("gangs_ended");
+  Stats.count("gangs_ended");
 }
 
 void Coordinator::recordEnd(const TrackedGang &Gang) {
@@ -93,7 +93,7 @@
   const std::vector<Command> Commands = JobScheduler->decide(Now);
   const std::chrono::duration<double, std::micro> Took =
       std::chrono::steady_clock::now() - StartedAt;
-  ProcessMetrics.sample("decision_us", Took.count());
+  Stats.sample("decision_us", Took.count());
   for (const Command &Each : Commands)
     std::visit([this](const auto &Order) { carryOut(Order); }, Each);
 }
@@ -121,7 +121,7 @@
   Gang.CheckpointedProgress = Start.Resume;
   Gang.AbsenceCountsFrom = monotonicNow() + NoAbsenceCheck;
   Gangs.add(std::move(Gang));
-  ProcessMetrics.count("gangs_started");
+  Stats.count("gangs_started");
   enqueueWork(Start.Job.str(), [this, Order] {
     StartFinishedEvent Event;
     Event.Order = Order;
@@ -156,7 +156,7 @@
   LOG4CPLUS_INFO(logOf("coordinator"),
                  "Stopping the gang of job "
                      << Stop.Job << ": " << stopReasonName(Stop.Reason) << ".");
-  ProcessMetrics.count(std::string("stops_") + stopReasonName(Stop.Reason));
+  Stats.count(std::string("stops_") + stopReasonName(Stop.Reason));
   if (TrackedGang *Gang = Gangs.find(Stop.Job, Stop.Number))
     sendStop(*Gang, Stop.Checkpoint, Stop.Deadline);
 }
--- a/src/coordinator/RoleKeeper.cpp
+++ b/src/coordinator/CoordinatorElection.cpp
@@ -1,4 +1,4 @@
-#include "coordinator/RoleKeeper.h"
+#include "coordinator/CoordinatorElection.h"
 
 #include "base/Log.h"
 #include "wire.pb.h"
@@ -12,20 +12,22 @@
 
 } // namespace
 
-RoleKeeper::RoleKeeper(const Settings &Opts, std::uint64_t Incarnation,
-                       Store &ClusterStore, Listener OnRoleChange)
+CoordinatorElection::CoordinatorElection(const Settings &Opts,
+                                         std::uint64_t Incarnation,
+                                         Store &ClusterStore,
+                                         Listener OnRoleChange)
     : Opts(Opts), Incarnation(Incarnation), ClusterStore(ClusterStore),
       OnRoleChange(std::move(OnRoleChange)),
       Key("roles/" + Opts.Cell + "/coordinator") {}
 
-RoleKeeper::~RoleKeeper() { resign(); }
+CoordinatorElection::~CoordinatorElection() { resign(); }
 
-void RoleKeeper::start(const std::string &Address) {
+void CoordinatorElection::start(const std::string &Address) {
   RpcAddress = Address;
   Thread = std::thread([this] { run(); });
 }
 
-void RoleKeeper::resign() {
+void CoordinatorElection::resign() {
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
     Stopping = true;
@@ -39,7 +41,7 @@
   HeldEpoch = 0;
 }
 
-void RoleKeeper::run() {
+void CoordinatorElection::run() {
   std::unique_lock<std::mutex> Lock(Mutex);
   while (!Stopping) {
     Lock.unlock();
@@ -55,7 +57,7 @@
   }
 }
 
-void RoleKeeper::renew() {
+void CoordinatorElection::renew() {
   const Instant SentAt = monotonicNow();
   const auto Renewed = ClusterStore.renewLease(LeaseId);
   if (Renewed)
@@ -64,13 +66,13 @@
     onLost();
 }
 
-void RoleKeeper::onLost() {
+void CoordinatorElection::onLost() {
   LOG4CPLUS_WARN(logOf("role"), "Lost the coordinator role.");
   HeldEpoch = 0;
   OnRoleChange(Epoch());
 }
 
-void RoleKeeper::tryAcquire() {
+void CoordinatorElection::tryAcquire() {
   const auto Current = ClusterStore.read(Key);
   if (!Current)
     return;
@@ -99,7 +101,7 @@
     onAcquired(static_cast<std::uint64_t>(*Written));
 }
 
-void RoleKeeper::onAcquired(std::uint64_t Revision) {
+void CoordinatorElection::onAcquired(std::uint64_t Revision) {
   LOG4CPLUS_INFO(logOf("role"),
                  "Acquired the coordinator role, epoch " << Revision << ".");
   ConfirmedAt = monotonicNow();
--- a/src/coordinator/RoleKeeper.h
+++ b/src/coordinator/CoordinatorElection.h
@@ -1,5 +1,5 @@
-#ifndef BAOBABCOVE_COORDINATOR_ROLEKEEPER_H
-#define BAOBABCOVE_COORDINATOR_ROLEKEEPER_H
+#ifndef BAOBABCOVE_COORDINATOR_COORDINATORELECTION_H
+#define BAOBABCOVE_COORDINATOR_COORDINATORELECTION_H
 
 #include "baobabcove/Clock.h"
 #include "baobabcove/Ids.h"
@@ -21,15 +21,15 @@
 /// While the store is unavailable the holder keeps the role: no other process
 /// can acquire it, and if one has done so unnoticed, agents refuse the older
 /// epoch.
-class RoleKeeper {
+class CoordinatorElection {
 public:
   /// Called when this process acquires the role, with its epoch, and when it
   /// loses the role, with epoch zero.
   using Listener = std::function<void(Epoch)>;
 
-  RoleKeeper(const Settings &Opts, std::uint64_t Incarnation,
-             Store &ClusterStore, Listener OnRoleChange);
-  ~RoleKeeper();
+  CoordinatorElection(const Settings &Opts, std::uint64_t Incarnation,
+                      Store &ClusterStore, Listener OnRoleChange);
+  ~CoordinatorElection();
 
   /// Starts competing for the role. \p RpcAddress is stored with the key for
   /// other processes.
@@ -39,11 +39,11 @@
   void resign();
 
   /// Returns the epoch of the held role, or zero when it is not held.
-  Epoch held() const { return Epoch(HeldEpoch); }
+  Epoch heldEpoch() const { return Epoch(HeldEpoch); }
   /// Returns when the store last confirmed the role.
   Instant confirmedAt() const { return ConfirmedAt; }
   /// Returns the highest epoch seen in the store.
-  Epoch highest() const { return Epoch(HighestEpoch); }
+  Epoch highestSeenEpoch() const { return Epoch(HighestEpoch); }
 
 private:
   void run();
@@ -70,4 +70,4 @@
 
 } // namespace baobabcove
 
-#endif // BAOBABCOVE_COORDINATOR_ROLEKEEPER_H
+#endif // BAOBABCOVE_COORDINATOR_COORDINATORELECTION_H
--- a/src/coordinator/JobStateMachine.cpp
+++ b/src/coordinator/JobStateMachine.cpp
@@ -26,7 +26,7 @@
       StateName = Each.Name;
   const auto Next = Chart.next(StateName, Event);
   if (!Next) {
-    ProcessMetrics.count(EventsNotAllowed);
+    Stats.count(EventsNotAllowed);
     return false;
   }
   for (const StateNameEntry &Each : StateNames)
--- a/src/coordinator/JobStateMachine.h
+++ b/src/coordinator/JobStateMachine.h
@@ -10,8 +10,8 @@
 /// Applies the events of the job state chart to job records. Thread-safe.
 class JobStateMachine {
 public:
-  JobStateMachine(const StateChart &Chart, Metrics &ProcessMetrics)
-      : Chart(Chart), ProcessMetrics(ProcessMetrics) {}
+  JobStateMachine(const StateChart &Chart, Metrics &Stats)
+      : Chart(Chart), Stats(Stats) {}
 
   /// Moves \p Record to the state that follows \p Event. Returns false, leaves
   /// the record unchanged and counts the event if the chart does not allow it.
@@ -19,7 +19,7 @@
 
 private:
   const StateChart &Chart;
-  Metrics &ProcessMetrics;
+  Metrics &Stats;
 };
 
 } // namespace baobabcove
--- a/src/coordinator/WireTypes.cpp
+++ b/src/coordinator/WireConversions.cpp
@@ -1,4 +1,4 @@
-#include "coordinator/WireTypes.h"
+#include "coordinator/WireConversions.h"
 
 #include <algorithm>
 
--- a/src/coordinator/WireTypes.h
+++ b/src/coordinator/WireConversions.h
@@ -2,8 +2,8 @@
 /// Conversions from protocol messages and stored records to the types of the
 /// decision library.
 
-#ifndef BAOBABCOVE_COORDINATOR_WIRETYPES_H
-#define BAOBABCOVE_COORDINATOR_WIRETYPES_H
+#ifndef BAOBABCOVE_COORDINATOR_WIRECONVERSIONS_H
+#define BAOBABCOVE_COORDINATOR_WIRECONVERSIONS_H
 
 #include "baobabcove/Scheduler.h"
 #include "config/Configuration.h"
@@ -26,4 +26,4 @@
 
 } // namespace baobabcove
 
-#endif // BAOBABCOVE_COORDINATOR_WIRETYPES_H
+#endif // BAOBABCOVE_COORDINATOR_WIRECONVERSIONS_H
--- a/src/coordinator/WorkerLossDetector.h
+++ b/src/coordinator/WorkerLossDetector.h
@@ -3,7 +3,7 @@
 
 #include "baobabcove/Clock.h"
 #include "baobabcove/Ids.h"
-#include "membership/Members.h"
+#include "membership/MemberTable.h"
 
 #include <map>
 #include <set>
--- a/src/entry/ClaimStore.cpp
+++ b/src/entry/ClaimStore.cpp
@@ -28,9 +28,9 @@
 
 wire::RequestClaim claimOf(const MemberRecord &Agent) {
   wire::RequestClaim Claim;
-  Claim.set_node(Agent.Beat.node());
-  Claim.set_incarnation(Agent.Beat.incarnation());
-  Claim.set_period(Agent.Beat.minion().outcome_period());
+  Claim.set_node(Agent.LastHeartbeat.node());
+  Claim.set_incarnation(Agent.LastHeartbeat.incarnation());
+  Claim.set_period(Agent.LastHeartbeat.minion().outcome_period());
   return Claim;
 }
 
@@ -97,9 +97,9 @@
 
 std::string ClaimStore::makeTicket(const MemberRecord &Agent) {
   std::ostringstream Out;
-  Out << TicketPrefix << Agent.Beat.node() << TicketSeparator
-      << Agent.Beat.incarnation() << TicketSeparator
-      << Agent.Beat.minion().outcome_period() << TicketSeparator
+  Out << TicketPrefix << Agent.LastHeartbeat.node() << TicketSeparator
+      << Agent.LastHeartbeat.incarnation() << TicketSeparator
+      << Agent.LastHeartbeat.minion().outcome_period() << TicketSeparator
       << randomName();
   return Out.str();
 }
--- a/src/entry/ClaimStore.h
+++ b/src/entry/ClaimStore.h
@@ -3,7 +3,7 @@
 
 #include "baobabcove/Clock.h"
 #include "baobabcove/ResultCode.h"
-#include "membership/Members.h"
+#include "membership/MemberTable.h"
 #include "store/Store.h"
 #include "wire.pb.h"
 
--- a/src/entry/ConfigurationApi.cpp
+++ b/src/entry/ConfigurationApi.cpp
@@ -4,7 +4,7 @@
 #include "base/Log.h"
 #include "base/StateDump.h"
 #include "base/Text.h"
-#include "coordinator/WireTypes.h"
+#include "coordinator/WireConversions.h"
 #include "entry/JobApi.h"
 
 #include <algorithm>
--- a/src/entry/EntryContext.h
+++ b/src/entry/EntryContext.h
@@ -7,7 +7,7 @@
 #include "entry/JobBook.h"
 #include "entry/Router.h"
 #include "http/Access.h"
-#include "membership/Members.h"
+#include "membership/MemberTable.h"
 #include "rpc/Rpc.h"
 #include "store/Store.h"
 
@@ -20,7 +20,7 @@
   Metrics &Stats;
   Store &StoreClient;
   RpcPeers &Peers;
-  Members &Membership;
+  MemberTable &Membership;
   ConfigurationKeeper &ActiveConfig;
   JobBook &JobRecords;
   Router &RequestRouter;
--- a/src/entry/EntryProcess.cpp
+++ b/src/entry/EntryProcess.cpp
@@ -76,7 +76,7 @@
   CellCoordinator = std::make_unique<Coordinator>(
       Options, Charts.Job, *StoreClient, Peers, JobRecords, Membership,
       ActiveConfig, Stats);
-  Heartbeats = std::make_unique<Announcer>(
+  Heartbeats = std::make_unique<HeartbeatSender>(
       Peers, ActiveConfig, Milliseconds(Options.HeartbeatMs),
       [this] { return buildHeartbeat(); },
       [this](const wire::HeartbeatReply &Reply, Instant SentAt) {
@@ -84,9 +84,9 @@
       });
   ActiveConfig.listen([this](const Configuration &) {
     CellCoordinator->configurationChanged();
-    Heartbeats->nudge();
+    Heartbeats->sendNow();
   });
-  Role = std::make_unique<RoleKeeper>(
+  Role = std::make_unique<CoordinatorElection>(
       Options, Incarnation, *StoreClient,
       [this](Epoch Held) { CellCoordinator->roleChanged(Held); });
   auto Server = serveRpc(Options.RpcAddress, this, nullptr);
@@ -119,7 +119,7 @@
 void EntryProcess::stop(Milliseconds Timeout) {
   LOG4CPLUS_INFO(logOf("entry"), "Graceful shutdown started.");
   Draining = true;
-  Heartbeats->nudge();
+  Heartbeats->sendNow();
   // Time for the load balancer to see the failing readiness check and stop
   // sending new connections.
   std::this_thread::sleep_for(Milliseconds(Options.LameDuckMs));
@@ -167,11 +167,11 @@
     if (!Registered)
       Registered = registerEntry();
     RequestRouter.pool().membersChanged();
-    Membership.forgetSilent(MemberRetention, monotonicNow());
+    Membership.removeStale(MemberRetention, monotonicNow());
     for (const auto &Entry :
          Membership.alive(wire::ENTRY, Milliseconds(Options.MinionSilenceMs),
                           monotonicNow()))
-      Heartbeats->add(Entry.Beat.rpc_address(), false);
+      Heartbeats->add(Entry.LastHeartbeat.rpc_address(), false);
     std::this_thread::sleep_for(HousekeepingPeriod);
   }
 }
@@ -212,9 +212,10 @@
   for (const auto &Each : Membership.alive(
            wire::WORKER, Milliseconds(Options.WorkerSilenceMs), Now)) {
     wire::HeardWorker &Worker = *Message.add_heard_workers();
-    Worker.set_node(Each.Beat.node());
-    Worker.set_incarnation(Each.Beat.incarnation());
-    Worker.set_age_ms(static_cast<std::uint64_t>((Now - Each.HeardAt).count()));
+    Worker.set_node(Each.LastHeartbeat.node());
+    Worker.set_incarnation(Each.LastHeartbeat.incarnation());
+    Worker.set_age_ms(
+        static_cast<std::uint64_t>((Now - Each.LastHeartbeatAt).count()));
   }
   return Message;
 }
@@ -222,7 +223,7 @@
 Milliseconds EntryProcess::coordinatorContactAge(Instant Now) const {
   if (!Registered)
     return NeverSeenAge;
-  if (Role->held() != Epoch())
+  if (Role->heldEpoch() != Epoch())
     return Now - Role->confirmedAt();
   return Now - CoordinatorContactAt.load();
 }
@@ -241,24 +242,25 @@
   if (Message.leaving())
     Membership.remove(NodeId(Message.node()));
   else
-    Membership.hear(Message, Now);
-  CellCoordinator->memberHeard(Message);
+    Membership.update(Message, Now);
+  CellCoordinator->heartbeatReceived(Message);
   wire::HeartbeatReply Reply;
   Reply.set_configuration_version(ActiveConfig.version().value());
   if (Message.configuration_version() < ActiveConfig.version().value())
     *Reply.mutable_configuration() = ActiveConfig.bundle();
-  Reply.set_is_coordinator(Role->held() != Epoch());
+  Reply.set_is_coordinator(Role->heldEpoch() != Epoch());
   Reply.set_coordinator_age_ms(
       static_cast<std::uint64_t>(coordinatorContactAge(Now).count()));
-  Reply.set_coordinator_epoch(std::max(
-      {HighestEpoch.load(), Role->held().value(), Role->highest().value()}));
+  Reply.set_coordinator_epoch(
+      std::max({HighestEpoch.load(), Role->heldEpoch().value(),
+                Role->highestSeenEpoch().value()}));
   for (const auto &Each : Membership.alive(
            wire::ENTRY, Milliseconds(Options.MinionSilenceMs), Now)) {
-    if (Each.Beat.node() == Message.node())
+    if (Each.LastHeartbeat.node() == Message.node())
       continue;
     wire::PeerAddress &Entry = *Reply.add_entries();
-    Entry.set_node(Each.Beat.node());
-    Entry.set_rpc_address(Each.Beat.rpc_address());
+    Entry.set_node(Each.LastHeartbeat.node());
+    Entry.set_rpc_address(Each.LastHeartbeat.rpc_address());
   }
   return Reply;
 }
@@ -328,7 +330,7 @@
   Out->set("configuration_version", ActiveConfig.version().value());
   Out->set("draining", Draining.load());
   Out->set("registered", Registered.load());
-  Out->set("role_epoch", Role->held().value());
+  Out->set("role_epoch", Role->heldEpoch().value());
   Out->set("highest_epoch", HighestEpoch.load());
   Out->set("jobs_known", JobRecords.all().size());
   Out->set("following_store", JobRecords.watching());
@@ -349,24 +351,25 @@
   const Instant Now = monotonicNow();
   for (const auto &Each : Membership.all()) {
     auto Row = makeDump();
-    Row->set("node", Each.Beat.node());
-    Row->set("kind", wire::NodeKind_Name(Each.Beat.kind()));
-    Row->set("place", Each.Beat.location().place());
-    Row->set("data_centre", Each.Beat.location().data_centre());
-    Row->set("rack", Each.Beat.location().rack());
-    Row->set("configuration_version", Each.Beat.configuration_version());
-    Row->set("draining", Each.Beat.draining());
-    Row->set("silent_ms", (Now - Each.HeardAt).count());
-    Row->set("http_address", Each.Beat.http_address());
-    Row->set("rpc_address", Each.Beat.rpc_address());
-    if (Each.Beat.kind() == wire::MINION) {
-      Row->set("service", Each.Beat.minion().service());
-      Row->set("slots", Each.Beat.minion().slots());
-      Row->set("in_flight", Each.Beat.minion().in_flight());
+    Row->set("node", Each.LastHeartbeat.node());
+    Row->set("kind", wire::NodeKind_Name(Each.LastHeartbeat.kind()));
+    Row->set("place", Each.LastHeartbeat.location().place());
+    Row->set("data_centre", Each.LastHeartbeat.location().data_centre());
+    Row->set("rack", Each.LastHeartbeat.location().rack());
+    Row->set("configuration_version",
+             Each.LastHeartbeat.configuration_version());
+    Row->set("draining", Each.LastHeartbeat.draining());
+    Row->set("silent_ms", (Now - Each.LastHeartbeatAt).count());
+    Row->set("http_address", Each.LastHeartbeat.http_address());
+    Row->set("rpc_address", Each.LastHeartbeat.rpc_address());
+    if (Each.LastHeartbeat.kind() == wire::MINION) {
+      Row->set("service", Each.LastHeartbeat.minion().service());
+      Row->set("slots", Each.LastHeartbeat.minion().slots());
+      Row->set("in_flight", Each.LastHeartbeat.minion().in_flight());
     }
-    if (Each.Beat.kind() == wire::WORKER) {
-      Row->set("accelerators", Each.Beat.worker().accelerators());
-      Row->set("parts", Each.Beat.worker().parts_size());
+    if (Each.LastHeartbeat.kind() == wire::WORKER) {
+      Row->set("accelerators", Each.LastHeartbeat.worker().accelerators());
+      Row->set("parts", Each.LastHeartbeat.worker().parts_size());
     }
     Rows->add(Row);
   }
@@ -382,13 +385,14 @@
   if (!Sender)
     return refusal(Sender.error());
   MemberRecord Found;
-  if (!Membership.find(NodeId(Node), Found) || Found.Beat.kind() == wire::ENTRY)
+  if (!Membership.find(NodeId(Node), Found) ||
+      Found.LastHeartbeat.kind() == wire::ENTRY)
     return refusal(ResultCode::UnknownPath,
                    "There is no minion or worker " + Node + ".");
   wire::DrainRequest Order;
   Order.set_draining(Wanted);
   const auto Done =
-      Peers.drain(Found.Beat.rpc_address(), Order, DrainCallTimeout);
+      Peers.drain(Found.LastHeartbeat.rpc_address(), Order, DrainCallTimeout);
   if (!Done)
     return refusal(Done.error());
   auto Body = makeDump();
--- a/src/entry/EntryProcess.h
+++ b/src/entry/EntryProcess.h
@@ -3,12 +3,12 @@
 
 #include "baobabcove/StateChart.h"
 #include "coordinator/Coordinator.h"
-#include "coordinator/RoleKeeper.h"
+#include "coordinator/CoordinatorElection.h"
 #include "entry/ConfigurationApi.h"
 #include "entry/EntryContext.h"
 #include "entry/JobApi.h"
 #include "entry/RequestApi.h"
-#include "membership/Announcer.h"
+#include "membership/HeartbeatSender.h"
 
 #include <atomic>
 #include <memory>
@@ -89,7 +89,7 @@
   std::unique_ptr<Store> WatchStoreClient;
   ConfigurationKeeper ActiveConfig;
   RpcPeers Peers;
-  Members Membership;
+  MemberTable Membership;
   ClaimStore Claims;
   Router RequestRouter;
   JobBook JobRecords;
@@ -98,10 +98,10 @@
   JobApi Jobs;
   ConfigurationApi Configurations;
   std::unique_ptr<Coordinator> CellCoordinator;
-  std::unique_ptr<RoleKeeper> Role;
+  std::unique_ptr<CoordinatorElection> Role;
   std::unique_ptr<RpcServer> Rpc;
   std::unique_ptr<HttpServer> Http;
-  std::unique_ptr<Announcer> Heartbeats;
+  std::unique_ptr<HeartbeatSender> Heartbeats;
   std::atomic<bool> Draining{false};
   std::atomic<bool> Leaving{false};
   std::atomic<bool> Registered{false};
--- a/src/entry/JobApi.cpp
+++ b/src/entry/JobApi.cpp
@@ -2,7 +2,7 @@
 
 #include "base/HttpClient.h"
 #include "base/Text.h"
-#include "coordinator/WireTypes.h"
+#include "coordinator/WireConversions.h"
 
 #include <algorithm>
 #include <charconv>
@@ -43,7 +43,7 @@
   std::vector<WorkerInfo> Result;
   for (const auto &Each :
        Context.Membership.alive(wire::WORKER, WorkerRetention, monotonicNow()))
-    Result.push_back(workerInfoOf(Each.Beat));
+    Result.push_back(workerInfoOf(Each.LastHeartbeat));
   return Result;
 }
 
--- a/src/entry/MinionPool.cpp
+++ b/src/entry/MinionPool.cpp
@@ -33,12 +33,12 @@
 
 } // namespace
 
-MinionPool::MinionPool(const Settings &Options, const Members &Membership)
+MinionPool::MinionPool(const Settings &Options, const MemberTable &Membership)
     : Options(Options), Membership(Membership),
       WarmUpEnd(monotonicNow() + WarmUpTime), Rng(std::random_device{}()) {}
 
 int MinionPool::distance(const MemberRecord &Candidate) const {
-  const wire::Location &There = Candidate.Beat.location();
+  const wire::Location &There = Candidate.LastHeartbeat.location();
   if (There.place() != Options.Place)
     return 2;
   return There.data_centre() == Options.DataCentre ? 0 : 1;
@@ -59,9 +59,9 @@
 double MinionPool::score(const MemberRecord &Candidate,
                          double MedianLatency) const {
   double Result = DistanceWeight * distance(Candidate);
-  const std::string &Node = Candidate.Beat.node();
+  const std::string &Node = Candidate.LastHeartbeat.node();
   Result += static_cast<double>(slotsInUse(Node)) /
-            std::max(1U, Candidate.Beat.minion().slots());
+            std::max(1U, Candidate.LastHeartbeat.minion().slots());
   const auto Found = Minions.find(Node);
   if (Found == Minions.end())
     return Result;
@@ -79,12 +79,13 @@
   std::size_t Ejected = 0;
   for (auto &Each : Membership.alive(
            wire::MINION, Milliseconds(Options.MinionSilenceMs), Now)) {
-    if (Each.Beat.minion().service() != Request.Service || Each.Beat.draining())
+    if (Each.LastHeartbeat.minion().service() != Request.Service ||
+        Each.LastHeartbeat.draining())
       continue;
-    if (Request.Excluded.count(Each.Beat.node()) != 0)
+    if (Request.Excluded.count(Each.LastHeartbeat.node()) != 0)
       continue;
-    Ejected += ejected(Each.Beat.node(), Now) ? 1 : 0;
-    const auto Found = Minions.find(Each.Beat.node());
+    Ejected += ejected(Each.LastHeartbeat.node(), Now) ? 1 : 0;
+    const auto Found = Minions.find(Each.LastHeartbeat.node());
     if (Found != Minions.end() && Found->second.LatencyMs > 0)
       Latencies.push_back(Found->second.LatencyMs);
     Candidates.push_back(std::move(Each));
@@ -103,9 +104,10 @@
   double BestScore = 0;
   std::uniform_real_distribution<double> Jitter(0, MaxJitter);
   for (const MemberRecord &Each : Candidates) {
-    if (slotsInUse(Each.Beat.node()) >= Each.Beat.minion().slots())
+    if (slotsInUse(Each.LastHeartbeat.node()) >=
+        Each.LastHeartbeat.minion().slots())
       continue;
-    if (!UseEjected && ejected(Each.Beat.node(), Now))
+    if (!UseEjected && ejected(Each.LastHeartbeat.node(), Now))
       continue;
     const double Score = score(Each, Median) + Jitter(Rng);
     if (Best && Score >= BestScore)
@@ -136,8 +138,8 @@
   std::size_t Slots = 0;
   for (const auto &Each : Membership.alive(
            wire::MINION, Milliseconds(Options.MinionSilenceMs), monotonicNow()))
-    if (Each.Beat.minion().service() == Service)
-      Slots += Each.Beat.minion().slots();
+    if (Each.LastHeartbeat.minion().service() == Service)
+      Slots += Each.LastHeartbeat.minion().slots();
   return Slots;
 }
 
@@ -178,7 +180,7 @@
   if (Waiters.empty()) {
     const Pick Result = pick(Request, Mine.Member);
     if (Result == Pick::Found) {
-      reserveSlot(Mine.Member.Beat.node(), Request.Workspace);
+      reserveSlot(Mine.Member.LastHeartbeat.node(), Request.Workspace);
       return Mine.Member;
     }
     if (Result == Pick::None && Now >= WarmUpEnd)
@@ -260,9 +262,9 @@
       wire::MINION, Milliseconds(Options.MinionSilenceMs), monotonicNow());
   std::map<std::string, Minion> Remaining;
   for (const auto &Each : Alive) {
-    const std::string &Node = Each.Beat.node();
+    const std::string &Node = Each.LastHeartbeat.node();
     Minion &State = Minions[Node];
-    const std::uint32_t Reported = Each.Beat.minion().in_flight();
+    const std::uint32_t Reported = Each.LastHeartbeat.minion().in_flight();
     State.InFlightElsewhere =
         Reported > State.InFlightHere ? Reported - State.InFlightHere : 0;
     Remaining[Node] = State;
@@ -289,7 +291,7 @@
   for (Waiter *Each : Order) {
     if (pick(*Each->Request, Each->Member) != Pick::Found)
       continue;
-    reserveSlot(Each->Member.Beat.node(), Each->Request->Workspace);
+    reserveSlot(Each->Member.LastHeartbeat.node(), Each->Request->Workspace);
     Each->Granted = true;
     Waiters.remove(Each);
     Each->Ready.notify_one();
--- a/src/entry/MinionPool.h
+++ b/src/entry/MinionPool.h
@@ -4,7 +4,7 @@
 #include "baobabcove/Clock.h"
 #include "baobabcove/ResultCode.h"
 #include "config/Settings.h"
-#include "membership/Members.h"
+#include "membership/MemberTable.h"
 
 #include <condition_variable>
 #include <list>
@@ -36,7 +36,7 @@
 /// Thread-safe.
 class MinionPool {
 public:
-  MinionPool(const Settings &Options, const Members &Membership);
+  MinionPool(const Settings &Options, const MemberTable &Membership);
 
   /// Waits for a slot and takes it. Fails with NoMinion, Overloaded or
   /// DeadlineBeforeStart, in which case nothing was sent. During warm-up it
@@ -96,7 +96,7 @@
   void noteFailure(Minion &Failed, Instant Now);
 
   const Settings &Options;
-  const Members &Membership;
+  const MemberTable &Membership;
   const Instant WarmUpEnd;
   mutable std::mutex Mutex;
   std::map<std::string, Minion> Minions;
--- a/src/entry/RequestApi.cpp
+++ b/src/entry/RequestApi.cpp
@@ -161,9 +161,9 @@
   const auto Agent = Context.RequestRouter.pool().acquire(Wanted);
   if (!Agent)
     return refusal(Agent.error());
-  Context.RequestRouter.pool().release(Agent->Beat.node(), Sender->Workspace,
-                                       DeliveryResult::Refused, Milliseconds(0),
-                                       -1);
+  Context.RequestRouter.pool().release(
+      Agent->LastHeartbeat.node(), Sender->Workspace, DeliveryResult::Refused,
+      Milliseconds(0), -1);
   auto Body = makeDump();
   Body->set("ticket", ClaimStore::makeTicket(*Agent));
   HttpResponse Response;
--- a/src/entry/Router.cpp
+++ b/src/entry/Router.cpp
@@ -69,7 +69,7 @@
 
 } // namespace
 
-Router::Router(const Settings &Options, const Members &Membership,
+Router::Router(const Settings &Options, const MemberTable &Membership,
                RpcPeers &Peers, ClaimStore &Claims, Metrics &Stats)
     : Options(Options), Membership(Membership), Peers(Peers), Claims(Claims),
       Stats(Stats), Pool(Options, Membership), Budget(Options.RetryPercent) {}
@@ -115,7 +115,7 @@
     Reply = deliverCounted(*Agent, Request);
     if (codeOf(Reply) == ResultCode::Ok || !mayRetry(Reply, Request))
       return Reply;
-    Wanted.Excluded.insert(Agent->Beat.node());
+    Wanted.Excluded.insert(Agent->LastHeartbeat.node());
   }
   return Reply;
 }
@@ -141,15 +141,15 @@
           !Membership.find(NodeId((*Current)->Claim.node()), Holder) ||
           !withdraw(Holder, Request) || !mayRetry(Reply, Request))
         return Reply;
-      Wanted.Excluded.insert(Holder.Beat.node());
+      Wanted.Excluded.insert(Holder.LastHeartbeat.node());
     }
     // The slot is acquired only to choose the agent; routePinned takes its own.
     const auto Agent = Pool.acquire(Wanted);
     if (!Agent)
       return Tries == 0 || Reply.code() == 0 ? replyOf(Agent.error()) : Reply;
     const auto Claimed = Claims.claim(Workspace, Key, *Agent, Revision);
-    Pool.release(Agent->Beat.node(), Workspace, DeliveryResult::Refused,
-                 Milliseconds(0), -1);
+    Pool.release(Agent->LastHeartbeat.node(), Workspace,
+                 DeliveryResult::Refused, Milliseconds(0), -1);
     if (!Claimed)
       return replyOf(Claimed.error());
     *Current = *Claimed;
@@ -179,7 +179,7 @@
                     "The agent " + Pin.node() + " is unknown to this entry."});
   Request.Message.set_pinned_incarnation(Pin.incarnation());
   Request.Message.set_pinned_period(Pin.period());
-  Pool.occupySlot(Agent.Beat.node(), Request.Message.workspace());
+  Pool.occupySlot(Agent.LastHeartbeat.node(), Request.Message.workspace());
   return deliverCounted(Agent, Request);
 }
 
@@ -188,7 +188,7 @@
   const Instant StartedAt = monotonicNow();
   wire::ExecuteReply Reply = deliver(Agent, Request);
   const bool LoadReported = Reply.slots() > 0;
-  Pool.release(Agent.Beat.node(), Request.Message.workspace(),
+  Pool.release(Agent.LastHeartbeat.node(), Request.Message.workspace(),
                deliveryResultOf(Reply), monotonicNow() - StartedAt,
                LoadReported ? static_cast<int>(Reply.in_flight()) : -1);
   return Reply;
@@ -202,8 +202,8 @@
                     "The deadline passed before the request was sent."});
   Request.Message.set_deadline_ms(static_cast<std::uint32_t>(TimeLeft.count()));
   Stats.count("deliveries");
-  const auto Reply = Peers.execute(Agent.Beat.rpc_address(), Request.Message,
-                                   TimeLeft + AnswerGrace);
+  const auto Reply = Peers.execute(Agent.LastHeartbeat.rpc_address(),
+                                   Request.Message, TimeLeft + AnswerGrace);
   if (Reply)
     return *Reply;
   if (Reply.error().Code == ResultCode::PeerNotConnected)
@@ -221,26 +221,28 @@
   Query.clear_body();
   Query.set_ask_only(true);
   if (Query.pinned_incarnation() == 0) {
-    Query.set_pinned_incarnation(Agent.Beat.incarnation());
-    Query.set_pinned_period(Agent.Beat.minion().outcome_period());
+    Query.set_pinned_incarnation(Agent.LastHeartbeat.incarnation());
+    Query.set_pinned_period(Agent.LastHeartbeat.minion().outcome_period());
   }
   const Instant WaitDeadline = Request.Deadline + OutcomeQueryGrace;
-  Peers.forget(Agent.Beat.rpc_address());
+  Peers.forget(Agent.LastHeartbeat.rpc_address());
   while (monotonicNow() < WaitDeadline) {
     const Milliseconds Timeout =
         std::min(OutcomeQueryTimeout, WaitDeadline - monotonicNow());
     Query.set_deadline_ms(static_cast<std::uint32_t>(
         std::max(Timeout - AnswerGrace, Milliseconds(1)).count()));
-    const auto Answer = Peers.execute(Agent.Beat.rpc_address(), Query, Timeout);
+    const auto Answer =
+        Peers.execute(Agent.LastHeartbeat.rpc_address(), Query, Timeout);
     if (Answer && codeOf(*Answer) != ResultCode::DeadlineAfterStart)
       return *Answer;
     if (!Answer)
-      Peers.forget(Agent.Beat.rpc_address());
+      Peers.forget(Agent.LastHeartbeat.rpc_address());
     MemberRecord Current;
     const bool Replaced =
-        Membership.find(NodeId(Agent.Beat.node()), Current) &&
-        Current.Beat.incarnation() != Agent.Beat.incarnation();
-    const bool HeartbeatStale = monotonicNow() - Current.HeardAt >
+        Membership.find(NodeId(Agent.LastHeartbeat.node()), Current) &&
+        Current.LastHeartbeat.incarnation() !=
+            Agent.LastHeartbeat.incarnation();
+    const bool HeartbeatStale = monotonicNow() - Current.LastHeartbeatAt >
                                 Milliseconds(Options.MinionSilenceMs);
     if (!Answer && (Replaced || HeartbeatStale))
       break;
@@ -258,7 +260,7 @@
   Query.set_ask_only(true);
   Query.set_deadline_ms(
       static_cast<std::uint32_t>(OutcomeQueryTimeout.count()));
-  const auto Answer = Peers.execute(Agent.Beat.rpc_address(), Query,
+  const auto Answer = Peers.execute(Agent.LastHeartbeat.rpc_address(), Query,
                                     OutcomeQueryTimeout + AnswerGrace);
   return Answer && codeOf(*Answer) == ResultCode::Withdrawn;
 }
--- a/src/entry/Router.h
+++ b/src/entry/Router.h
@@ -25,8 +25,8 @@
 /// confirmed that it did not run and will not run.
 class Router {
 public:
-  Router(const Settings &Options, const Members &Membership, RpcPeers &Peers,
-         ClaimStore &Claims, Metrics &Stats);
+  Router(const Settings &Options, const MemberTable &Membership,
+         RpcPeers &Peers, ClaimStore &Claims, Metrics &Stats);
 
   /// Routes the request, with retries, and returns the final reply. Queries an
   /// unknown outcome for a short time after the deadline.
@@ -51,7 +51,7 @@
   bool mayRetry(const wire::ExecuteReply &Reply, const RouteRequest &Request);
 
   const Settings &Options;
-  const Members &Membership;
+  const MemberTable &Membership;
   RpcPeers &Peers;
   ClaimStore &Claims;
   Metrics &Stats;
--- a/src/membership/Announcer.cpp
+++ b/src/membership/HeartbeatSender.cpp
@@ -1,4 +1,4 @@
-#include "membership/Announcer.h"
+#include "membership/HeartbeatSender.h"
 
 #include "base/Log.h"
 
@@ -15,15 +15,17 @@
 
 } // namespace
 
-Announcer::Announcer(RpcPeers &Peers, ConfigurationKeeper &Configurations,
-                     Milliseconds Period, HeartbeatSource BuildHeartbeat,
-                     ReplyListener OnReply)
+HeartbeatSender::HeartbeatSender(RpcPeers &Peers,
+                                 ConfigurationKeeper &Configurations,
+                                 Milliseconds Period,
+                                 HeartbeatSource BuildHeartbeat,
+                                 ReplyListener OnReply)
     : Peers(Peers), Configurations(Configurations), Period(Period),
       BuildHeartbeat(std::move(BuildHeartbeat)), OnReply(std::move(OnReply)) {}
 
-Announcer::~Announcer() { stop(); }
+HeartbeatSender::~HeartbeatSender() { stop(); }
 
-void Announcer::add(const std::string &Address, bool Seed) {
+void HeartbeatSender::add(const std::string &Address, bool Seed) {
   const std::lock_guard<std::mutex> Lock(Mutex);
   if (Stopping)
     return;
@@ -46,13 +48,13 @@
   To.Thread = std::thread([this, &To] { run(To); });
 }
 
-void Announcer::nudge() {
+void HeartbeatSender::sendNow() {
   const std::lock_guard<std::mutex> Lock(Mutex);
   ++ImmediateRequests;
   Wake.notify_all();
 }
 
-bool Announcer::tellAll(Milliseconds Timeout) {
+bool HeartbeatSender::sendAndWait(Milliseconds Timeout) {
   std::unique_lock<std::mutex> Lock(Mutex);
   const std::uint64_t Requested = ++ImmediateRequests;
   Wake.notify_all();
@@ -66,7 +68,7 @@
   });
 }
 
-void Announcer::stop() {
+void HeartbeatSender::stop() {
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
     Stopping = true;
@@ -79,7 +81,7 @@
       Each->Thread.join();
 }
 
-std::vector<std::string> Announcer::answering() const {
+std::vector<std::string> HeartbeatSender::respondingEntries() const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   const Instant Now = monotonicNow();
   std::vector<std::string> Result;
@@ -90,7 +92,7 @@
   return Result;
 }
 
-bool Announcer::sendOnce(Receiver &To, std::uint64_t RequestsSeen) {
+bool HeartbeatSender::sendOnce(Receiver &To, std::uint64_t RequestsSeen) {
   const Instant SentAt = monotonicNow();
   const auto Reply = Peers.beat(To.Address, BuildHeartbeat(),
                                 std::max(MinReplyTimeout, 2 * Period));
@@ -113,7 +115,8 @@
   return true;
 }
 
-void Announcer::handleReply(const wire::HeartbeatReply &Reply, Instant SentAt) {
+void HeartbeatSender::handleReply(const wire::HeartbeatReply &Reply,
+                                  Instant SentAt) {
   if (Reply.has_configuration())
     Configurations.offer(Reply.configuration());
   OnReply(Reply, SentAt);
@@ -121,7 +124,7 @@
     add(Entry.rpc_address(), false);
 }
 
-void Announcer::run(Receiver &To) {
+void HeartbeatSender::run(Receiver &To) {
   std::uint64_t RequestsSeen = 0;
   bool Final = false;
   while (!Final) {
--- a/src/membership/Announcer.h
+++ b/src/membership/HeartbeatSender.h
@@ -1,5 +1,5 @@
-#ifndef BAOBABCOVE_MEMBERSHIP_ANNOUNCER_H
-#define BAOBABCOVE_MEMBERSHIP_ANNOUNCER_H
+#ifndef BAOBABCOVE_MEMBERSHIP_HEARTBEATSENDER_H
+#define BAOBABCOVE_MEMBERSHIP_HEARTBEATSENDER_H
 
 #include "baobabcove/Clock.h"
 #include "config/ConfigurationKeeper.h"
@@ -28,12 +28,12 @@
 /// entries are discovered from the replies, so that the first addresses are
 /// needed only at the start. A connection on which a heartbeat got no reply is
 /// replaced.
-class Announcer {
+class HeartbeatSender {
 public:
-  Announcer(RpcPeers &Peers, ConfigurationKeeper &Configurations,
-            Milliseconds Period, HeartbeatSource BuildHeartbeat,
-            ReplyListener OnReply);
-  ~Announcer();
+  HeartbeatSender(RpcPeers &Peers, ConfigurationKeeper &Configurations,
+                  Milliseconds Period, HeartbeatSource BuildHeartbeat,
+                  ReplyListener OnReply);
+  ~HeartbeatSender();
 
   /// Starts sending heartbeats to the entry at \p Address, up to a fixed number
   /// of entries. A seed is never given up; any other entry is dropped after it
@@ -41,18 +41,18 @@
   void add(const std::string &Address, bool Seed);
 
   /// Sends the next heartbeat to every entry now. Does not wait.
-  void nudge();
+  void sendNow();
 
   /// Sends heartbeats now and waits until every responding entry has replied to
   /// one that was built after this call. Returns false if \p Timeout expires
   /// first.
-  bool tellAll(Milliseconds Timeout);
+  bool sendAndWait(Milliseconds Timeout);
 
   /// Sends a final heartbeat to every entry and joins the threads.
   void stop();
 
   /// Returns the addresses of the entries that have replied recently.
-  std::vector<std::string> answering() const;
+  std::vector<std::string> respondingEntries() const;
 
 private:
   /// An entry that receives heartbeats, and the thread that sends them.
@@ -89,4 +89,4 @@
 
 } // namespace baobabcove
 
-#endif // BAOBABCOVE_MEMBERSHIP_ANNOUNCER_H
+#endif // BAOBABCOVE_MEMBERSHIP_HEARTBEATSENDER_H
--- a/src/membership/Members.cpp
+++ b/src/membership/MemberTable.cpp
@@ -1,28 +1,30 @@
-#include "membership/Members.h"
+#include "membership/MemberTable.h"
 
 namespace baobabcove {
 
-bool Members::hear(const wire::Heartbeat &Heartbeat, Instant Now) {
+bool MemberTable::update(const wire::Heartbeat &Heartbeat, Instant Now) {
   const std::lock_guard<std::mutex> Lock(Mutex);
   MemberRecord &Known = Table[Heartbeat.node()];
-  if (Heartbeat.incarnation() < Known.Beat.incarnation())
+  if (Heartbeat.incarnation() < Known.LastHeartbeat.incarnation())
     return false;
-  Known.Beat = Heartbeat;
-  Known.HeardAt = Now;
+  Known.LastHeartbeat = Heartbeat;
+  Known.LastHeartbeatAt = Now;
   return true;
 }
 
-std::vector<MemberRecord>
-Members::alive(wire::NodeKind Kind, Milliseconds Timeout, Instant Now) const {
+std::vector<MemberRecord> MemberTable::alive(wire::NodeKind Kind,
+                                             Milliseconds Timeout,
+                                             Instant Now) const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   std::vector<MemberRecord> Result;
   for (const auto &[Name, Known] : Table)
-    if (Known.Beat.kind() == Kind && Now - Known.HeardAt <= Timeout)
+    if (Known.LastHeartbeat.kind() == Kind &&
+        Now - Known.LastHeartbeatAt <= Timeout)
       Result.push_back(Known);
   return Result;
 }
 
-bool Members::find(const NodeId &Node, MemberRecord &Record) const {
+bool MemberTable::find(const NodeId &Node, MemberRecord &Record) const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   const auto Found = Table.find(Node.str());
   if (Found == Table.end())
@@ -31,7 +33,7 @@
   return true;
 }
 
-std::vector<MemberRecord> Members::all() const {
+std::vector<MemberRecord> MemberTable::all() const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   std::vector<MemberRecord> Result;
   for (const auto &[Name, Known] : Table)
@@ -39,15 +41,15 @@
   return Result;
 }
 
-void Members::remove(const NodeId &Node) {
+void MemberTable::remove(const NodeId &Node) {
   const std::lock_guard<std::mutex> Lock(Mutex);
   Table.erase(Node.str());
 }
 
-void Members::forgetSilent(Milliseconds Timeout, Instant Now) {
+void MemberTable::removeStale(Milliseconds Timeout, Instant Now) {
   const std::lock_guard<std::mutex> Lock(Mutex);
   for (auto It = Table.begin(); It != Table.end();) {
-    if (Now - It->second.HeardAt > Timeout)
+    if (Now - It->second.LastHeartbeatAt > Timeout)
       It = Table.erase(It);
     else
       ++It;
--- a/src/membership/Members.h
+++ b/src/membership/MemberTable.h
@@ -1,5 +1,5 @@
-#ifndef BAOBABCOVE_MEMBERSHIP_MEMBERS_H
-#define BAOBABCOVE_MEMBERSHIP_MEMBERS_H
+#ifndef BAOBABCOVE_MEMBERSHIP_MEMBERTABLE_H
+#define BAOBABCOVE_MEMBERSHIP_MEMBERTABLE_H
 
 #include "baobabcove/Clock.h"
 #include "baobabcove/Ids.h"
@@ -14,18 +14,18 @@
 
 /// The last heartbeat of a member.
 struct MemberRecord {
-  wire::Heartbeat Beat;
+  wire::Heartbeat LastHeartbeat;
   /// When this process received the heartbeat.
-  Instant HeardAt;
+  Instant LastHeartbeatAt;
 };
 
 /// The members whose heartbeats this process has received. A heartbeat of an
 /// older incarnation than the known one is refused, so that a delayed message
 /// of an earlier incarnation has no effect. Thread-safe.
-class Members {
+class MemberTable {
 public:
   /// Stores a heartbeat. Returns false if it is of an older incarnation.
-  bool hear(const wire::Heartbeat &Heartbeat, Instant Now);
+  bool update(const wire::Heartbeat &Heartbeat, Instant Now);
 
   /// Returns the members of one kind whose last heartbeat is at most \p Timeout
   /// old at \p Now.
@@ -42,7 +42,7 @@
   void remove(const NodeId &Node);
 
   /// Removes the members whose last heartbeat is older than \p Timeout.
-  void forgetSilent(Milliseconds Timeout, Instant Now);
+  void removeStale(Milliseconds Timeout, Instant Now);
 
 private:
   mutable std::mutex Mutex;
@@ -51,4 +51,4 @@
 
 } // namespace baobabcove
 
-#endif // BAOBABCOVE_MEMBERSHIP_MEMBERS_H
+#endif // BAOBABCOVE_MEMBERSHIP_MEMBERTABLE_H
--- a/src/store/StoreHealth.cpp
+++ b/src/store/StoreHealth.cpp
@@ -18,12 +18,12 @@
 
 } // namespace
 
-void StoreHealth::noteAnswer(BootInstant) {
+void StoreHealth::recordSuccess(BootInstant) {
   const std::lock_guard<std::mutex> Lock(Mutex);
   ConsecutiveFailures = 0;
 }
 
-void StoreHealth::noteFailure(BootInstant Now) {
+void StoreHealth::recordFailure(BootInstant Now) {
   const std::lock_guard<std::mutex> Lock(Mutex);
   if (ConsecutiveFailures == 0)
     FirstFailureAt = Now;
@@ -31,13 +31,13 @@
   LastFailureAt = Now;
 }
 
-bool StoreHealth::isAway(BootInstant Now) const {
+bool StoreHealth::isUnavailable(BootInstant Now) const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   return ConsecutiveFailures >= FailuresUntilUnavailable &&
          Now - LastFailureAt < FailureReportPeriod;
 }
 
-Milliseconds StoreHealth::awayFor(BootInstant Now) const {
+Milliseconds StoreHealth::outageDuration(BootInstant Now) const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   return ConsecutiveFailures == 0 ? Milliseconds(0)
                                   : Milliseconds(Now - FirstFailureAt);
--- a/src/store/StoreHealth.h
+++ b/src/store/StoreHealth.h
@@ -11,16 +11,16 @@
 /// process makes to it. Thread-safe.
 class StoreHealth {
 public:
-  void noteAnswer(BootInstant Now);
-  void noteFailure(BootInstant Now);
+  void recordSuccess(BootInstant Now);
+  void recordFailure(BootInstant Now);
 
   /// Returns true after several consecutive failures, until a call is answered
   /// or the last failure is so old that the store is to be tried again.
-  bool isAway(BootInstant Now) const;
+  bool isUnavailable(BootInstant Now) const;
 
   /// Returns the time since the first of the current consecutive failures, or
   /// zero if the last call was answered.
-  Milliseconds awayFor(BootInstant Now) const;
+  Milliseconds outageDuration(BootInstant Now) const;
 
 private:
   mutable std::mutex Mutex;
--- a/src/tasks/JobIntake.cpp
+++ b/src/tasks/JobIntake.cpp
@@ -25,11 +25,12 @@
   const JobId Id(Spec.id());
   if (Catalog.find(Id))
     return {};
-  if (Kv.health().isAway(BootClock::now()))
+  if (Kv.health().isUnavailable(BootClock::now()))
     return failure(
         ResultCode::StoreUnavailable,
         "The store has not answered for " +
-            std::to_string(Kv.health().awayFor(BootClock::now()).count()) +
+            std::to_string(
+                Kv.health().outageDuration(BootClock::now()).count()) +
             " ms; the job was not stored.");
   Transaction Change;
   Change.Conditions.push_back({keys::job(Id), 0});
--- a/src/tasks/JobIntake.h
+++ b/src/tasks/JobIntake.h
@@ -31,7 +31,7 @@
 
   /// Returns how long the store has been unreachable.
   Milliseconds storeUnavailableFor() const {
-    return Kv.health().awayFor(BootClock::now());
+    return Kv.health().outageDuration(BootClock::now());
   }
 
 private:
--- a/tests/entry/MinionPoolTest.cpp
+++ b/tests/entry/MinionPoolTest.cpp
@@ -8,7 +8,7 @@
 
 TEST_GROUP(MinionPool) {
   Settings Options;
-  Members Membership;
+  MemberTable Membership;
   MinionPool Pool{Options, Membership};
 
   void announce(const std::string &Node, std::uint32_t Slots) {
@@ -18,7 +18,7 @@
     Message.set_incarnation(1);
     Message.mutable_minion()->set_service("s");
     Message.mutable_minion()->set_slots(Slots);
-    Membership.hear(Message, monotonicNow());
+    Membership.update(Message, monotonicNow());
     Pool.membersChanged();
   }
 
@@ -36,7 +36,7 @@
   announce("late", 1);
   const auto Chosen = Got.get();
   CHECK_TRUE(Chosen.has_value());
-  STRCMP_EQUAL("late", Chosen->Beat.node().c_str());
+  STRCMP_EQUAL("late", Chosen->LastHeartbeat.node().c_str());
 }
 
 TEST(MinionPool, FailsAtTheDeadlineWhenNoMinionAppears) {
--- a/tests/membership/MemberTableTest.cpp
+++ b/tests/membership/MemberTableTest.cpp
@@ -1,11 +1,11 @@
-#include "membership/Members.h"
+#include "membership/MemberTable.h"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace baobabcove;
 
 TEST_GROUP(MemberTable) {
-  Members Table;
+  MemberTable Table;
   Instant Now{Milliseconds(100000)};
 
   bool receive(std::uint64_t Incarnation, const std::string &Address) {
@@ -14,7 +14,7 @@
     Heartbeat.set_kind(wire::MINION);
     Heartbeat.set_incarnation(Incarnation);
     Heartbeat.set_rpc_address(Address);
-    return Table.hear(Heartbeat, Now);
+    return Table.update(Heartbeat, Now);
   }
 };
 
@@ -23,7 +23,7 @@
   CHECK_FALSE(receive(1, "old"));
   MemberRecord Known;
   CHECK_TRUE(Table.find(NodeId("n"), Known));
-  STRCMP_EQUAL("new", Known.Beat.rpc_address().c_str());
+  STRCMP_EQUAL("new", Known.LastHeartbeat.rpc_address().c_str());
 }
 
 TEST(MemberTable, OmitsMembersWhoseHeartbeatTimedOut) {
@@ -38,6 +38,6 @@
 
 TEST(MemberTable, RemovesStaleMembers) {
   receive(1, "a");
-  Table.forgetSilent(Milliseconds(10), Now + Milliseconds(11));
+  Table.removeStale(Milliseconds(10), Now + Milliseconds(11));
   LONGS_EQUAL(0, Table.all().size());
 }
--- a/tests/platform/KvStoreTest.cpp
+++ b/tests/platform/KvStoreTest.cpp
@@ -91,5 +91,5 @@
   const auto Unreachable = makeKvStore(Address);
   CHECK(ResultCode::StoreUnavailable == Unreachable->commit({}).error().Code);
   (void)Unreachable->commit({});
-  CHECK_TRUE(Unreachable->health().isAway(BootClock::now()));
+  CHECK_TRUE(Unreachable->health().isUnavailable(BootClock::now()));
 }
--- a/tests/store/StoreHealthTest.cpp
+++ b/tests/store/StoreHealthTest.cpp
@@ -13,24 +13,24 @@
 TEST_GROUP(StoreHealth) { StoreHealth Health; };
 
 TEST(StoreHealth, IsAvailableAfterASingleFailure) {
-  Health.noteFailure(at(1000));
-  CHECK_FALSE(Health.isAway(at(1001)));
+  Health.recordFailure(at(1000));
+  CHECK_FALSE(Health.isUnavailable(at(1001)));
 }
 
 TEST(StoreHealth, IsUnavailableAfterConsecutiveFailuresUntilAnAnswer) {
-  Health.noteFailure(at(1000));
-  Health.noteFailure(at(1200));
-  CHECK_TRUE(Health.isAway(at(1300)));
-  LONGS_EQUAL(300, Health.awayFor(at(1300)).count());
-  Health.noteAnswer(at(1400));
-  CHECK_FALSE(Health.isAway(at(1401)));
-  LONGS_EQUAL(0, Health.awayFor(at(1401)).count());
+  Health.recordFailure(at(1000));
+  Health.recordFailure(at(1200));
+  CHECK_TRUE(Health.isUnavailable(at(1300)));
+  LONGS_EQUAL(300, Health.outageDuration(at(1300)).count());
+  Health.recordSuccess(at(1400));
+  CHECK_FALSE(Health.isUnavailable(at(1401)));
+  LONGS_EQUAL(0, Health.outageDuration(at(1401)).count());
 }
 
 TEST(StoreHealth, IsAvailableAgainWhenTheLastFailureIsOld) {
-  Health.noteFailure(at(1000));
-  Health.noteFailure(at(1200));
-  CHECK_FALSE(Health.isAway(at(5000)));
+  Health.recordFailure(at(1000));
+  Health.recordFailure(at(1200));
+  CHECK_FALSE(Health.isUnavailable(at(5000)));
 }
 
 TEST(StoreHealth, RetriesAfterTheLengthOfTheOutageUpToALimit) {
--- a/tests/tasks/JobIntakeTest.cpp
+++ b/tests/tasks/JobIntakeTest.cpp
@@ -42,8 +42,8 @@
 }
 
 TEST(JobIntake, RejectsJobsWhileTheStoreIsUnavailable) {
-  Kv.Health.noteFailure(BootClock::now());
-  Kv.Health.noteFailure(BootClock::now());
+  Kv.Health.recordFailure(BootClock::now());
+  Kv.Health.recordFailure(BootClock::now());
   const auto Refused = Intake.accept(spec());
   CHECK(ResultCode::StoreUnavailable == Refused.error().Code);
   LONGS_EQUAL(0, Kv.commits());
