--- a/src/agent/AgentProcess.cpp
+++ b/src/agent/AgentProcess.cpp
@@ -165,10 +165,11 @@
     return Response;
   }
   if (Request.Path != "/v1/state")
-    return refusal(ResultCode::UnknownPath, "No resource exists at this path.");
+    return errorResponse(ResultCode::UnknownPath,
+                         "No resource exists at this path.");
   const auto Sender = authenticateOperator(Request, *ActiveConfig.current());
   if (!Sender)
-    return refusal(Sender.error());
+    return errorResponse(Sender.error());
   HttpResponse Response;
   Response.Body = dump();
   return Response;
--- a/src/coordinator/Coordinator.cpp
+++ b/src/coordinator/Coordinator.cpp
@@ -32,7 +32,7 @@
 
 Coordinator::Coordinator(const Settings &Opts, const StateChart &JobChart,
                          Store &ClusterStore, RpcPeers &Peers,
-                         JobBook &JobRecords, const MemberTable &Membership,
+                         JobStore &JobRecords, const MemberTable &Membership,
                          ConfigurationKeeper &Configurations, Metrics &Stats)
     : Opts(Opts), JobStates(JobChart, Stats), ClusterStore(ClusterStore),
       JobRecords(JobRecords), Membership(Membership),
@@ -134,7 +134,7 @@
     ListingEvent Listing;
     Listing.ForEpoch = ForEpoch;
     while (!Stopping) {
-      auto Jobs = JobRecords.listThrough();
+      auto Jobs = JobRecords.listFromStore();
       const auto Entries = ClusterStore.list("entries/" + Opts.Cell + "/");
       if (!Jobs || !Entries) {
         std::this_thread::sleep_for(DecidePeriod);
--- a/src/coordinator/Coordinator.h
+++ b/src/coordinator/Coordinator.h
@@ -32,7 +32,7 @@
 class Coordinator {
 public:
   Coordinator(const Settings &Opts, const StateChart &JobChart,
-              Store &ClusterStore, RpcPeers &Peers, JobBook &JobRecords,
+              Store &ClusterStore, RpcPeers &Peers, JobStore &JobRecords,
               const MemberTable &Membership,
               ConfigurationKeeper &Configurations, Metrics &Stats);
   ~Coordinator();
@@ -139,7 +139,7 @@
   const Settings &Opts;
   const JobStateMachine JobStates;
   Store &ClusterStore;
-  JobBook &JobRecords;
+  JobStore &JobRecords;
   const MemberTable &Membership;
   ConfigurationKeeper &Configurations;
   Metrics &Stats;
--- a/src/coordinator/GangActions.cpp
+++ b/src/coordinator/GangActions.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-GangActions::GangActions(RpcPeers &Peers, JobBook &JobRecords,
+GangActions::GangActions(RpcPeers &Peers, JobStore &JobRecords,
                          const JobRecordWriter &RecordWriter,
                          const JobStateMachine &JobStates)
     : Peers(Peers), JobRecords(JobRecords), RecordWriter(RecordWriter),
@@ -103,7 +103,7 @@
       return Record;
     if (Written.error().Code != ResultCode::CompareFailed)
       return tl::unexpected<Error>(Written.error());
-    const auto Newer = JobRecords.readThrough(Order.Job);
+    const auto Newer = JobRecords.readFromStore(Order.Job);
     if (!Newer)
       return tl::unexpected<Error>(Newer.error());
     Current = *Newer;
--- a/src/coordinator/GangActions.h
+++ b/src/coordinator/GangActions.h
@@ -5,7 +5,7 @@
 #include "config/Settings.h"
 #include "coordinator/JobRecordWriter.h"
 #include "coordinator/JobStateMachine.h"
-#include "entry/JobBook.h"
+#include "entry/JobStore.h"
 #include "rpc/Rpc.h"
 
 #include <vector>
@@ -48,7 +48,7 @@
 /// members. Thread-safe; each function blocks until its calls have returned.
 class GangActions {
 public:
-  GangActions(RpcPeers &Peers, JobBook &JobRecords,
+  GangActions(RpcPeers &Peers, JobStore &JobRecords,
               const JobRecordWriter &RecordWriter,
               const JobStateMachine &JobStates);
 
@@ -73,7 +73,7 @@
   void armAll(const StartOrder &Order, const wire::JobRecord &Record);
 
   RpcPeers &Peers;
-  JobBook &JobRecords;
+  JobStore &JobRecords;
   const JobRecordWriter &RecordWriter;
   const JobStateMachine &JobStates;
 };
--- a/src/coordinator/JobRecordWriter.cpp
+++ b/src/coordinator/JobRecordWriter.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-JobRecordWriter::JobRecordWriter(JobBook &JobRecords)
+JobRecordWriter::JobRecordWriter(JobStore &JobRecords)
     : JobRecords(JobRecords), Thread([this] { run(); }) {}
 
 JobRecordWriter::~JobRecordWriter() {
@@ -81,7 +81,7 @@
       return true;
     if (Written.error().Code != ResultCode::CompareFailed)
       return false;
-    const auto Newer = JobRecords.readThrough(Next.Job);
+    const auto Newer = JobRecords.readFromStore(Next.Job);
     if (!Newer)
       return Newer.error().Code == ResultCode::UnknownJob;
     Current = *Newer;
--- a/src/coordinator/JobRecordWriter.h
+++ b/src/coordinator/JobRecordWriter.h
@@ -1,7 +1,7 @@
 #ifndef BAOBABCOVE_COORDINATOR_JOBRECORDWRITER_H
 #define BAOBABCOVE_COORDINATOR_JOBRECORDWRITER_H
 
-#include "entry/JobBook.h"
+#include "entry/JobStore.h"
 
 #include <condition_variable>
 #include <deque>
@@ -22,7 +22,7 @@
 /// running job has at most a few. Thread-safe.
 class JobRecordWriter {
 public:
-  explicit JobRecordWriter(JobBook &JobRecords);
+  explicit JobRecordWriter(JobStore &JobRecords);
   ~JobRecordWriter();
 
   /// Queues a change. \p Done, if set, is called from the writer's thread once
@@ -48,7 +48,7 @@
   void run();
   bool apply(const PendingChange &Next);
 
-  JobBook &JobRecords;
+  JobStore &JobRecords;
   mutable std::mutex Mutex;
   std::condition_variable Wake;
   std::deque<PendingChange> Queue;
--- a/src/entry/ConfigurationApi.cpp
+++ b/src/entry/ConfigurationApi.cpp
@@ -23,7 +23,7 @@
   std::string Detail;
   for (const ConfigurationFault &Fault : Report.Faults)
     Detail += (Detail.empty() ? "" : "\n") + Fault.str();
-  return refusal(ResultCode::ConfigurationInvalid, Detail);
+  return errorResponse(ResultCode::ConfigurationInvalid, Detail);
 }
 
 /// Lists the changes after version \p Base: their operators and files.
@@ -50,7 +50,7 @@
   const auto Sender =
       authenticateOperator(Request, *Context.ActiveConfig.current());
   if (!Sender)
-    return refusal(Sender.error());
+    return errorResponse(Sender.error());
   HttpResponse Response;
   Response.Body = toJson(Context.ActiveConfig.bundle());
   return Response;
@@ -149,17 +149,17 @@
 HttpResponse ConfigurationApi::apply(const HttpRequest &Request) {
   const auto Sender = authenticateApplier(Request);
   if (!Sender)
-    return refusal(Sender.error());
+    return errorResponse(Sender.error());
   wire::ApplyRequest Change;
   if (auto Read = fromJson(Request.Body, Change); !Read)
-    return refusal(Read.error());
+    return errorResponse(Read.error());
   wire::ConfigurationBundle Candidate;
   *Candidate.mutable_files() = Change.files();
   const ConfigurationReport Report = readConfiguration(Candidate);
   if (!Report.Faults.empty())
     return faultResponse(Report);
   if (auto Packable = checkGuarantees(Report); !Packable)
-    return refusal(Packable.error());
+    return errorResponse(Packable.error());
   auto Body = makeDump();
   if (Request.query("check_only") == "true") {
     Body->set("valid", true);
@@ -168,7 +168,7 @@
       Change.set_change_id(randomName());
     const auto Accepted = commitChange(Change, Sender->Operator);
     if (!Accepted)
-      return refusal(Accepted.error());
+      return errorResponse(Accepted.error());
     Context.ActiveConfig.offer(*Accepted);
     Body->set("version", Accepted->version());
     LOG4CPLUS_INFO(logOf("config"), "Accepted version "
@@ -184,7 +184,7 @@
   const auto Current = Context.ActiveConfig.current();
   const auto Sender = authenticate(Request, *Current);
   if (!Sender)
-    return refusal(Sender.error());
+    return errorResponse(Sender.error());
   Poco::JSON::Array::Ptr Rows = new Poco::JSON::Array;
   for (const auto &[Name, Workspace] : Current->Workspaces) {
     if (!Sender->mayAccess(Name))
--- a/src/entry/EntryContext.h
+++ b/src/entry/EntryContext.h
@@ -4,7 +4,7 @@
 #include "base/Metrics.h"
 #include "config/ConfigurationKeeper.h"
 #include "config/Settings.h"
-#include "entry/JobBook.h"
+#include "entry/JobStore.h"
 #include "entry/Router.h"
 #include "http/Access.h"
 #include "membership/MemberTable.h"
@@ -22,7 +22,7 @@
   RpcPeers &Peers;
   MemberTable &Membership;
   ConfigurationKeeper &ActiveConfig;
-  JobBook &JobRecords;
+  JobStore &JobRecords;
   Router &RequestRouter;
 };
 
--- a/src/entry/EntryProcess.cpp
+++ b/src/entry/EntryProcess.cpp
@@ -297,9 +297,10 @@
       return (this->*Each.Handle)(Request, Segment);
   }
   if (PathKnown)
-    return refusal(ResultCode::MethodNotAllowed,
-                   Request.Method + " is not allowed for this path.");
-  return refusal(ResultCode::UnknownPath, "No resource exists at this path.");
+    return errorResponse(ResultCode::MethodNotAllowed,
+                         Request.Method + " is not allowed for this path.");
+  return errorResponse(ResultCode::UnknownPath,
+                       "No resource exists at this path.");
 }
 
 HttpResponse EntryProcess::health(const HttpRequest &, const std::string &) {
@@ -316,7 +317,7 @@
                                  const std::string &) {
   const auto Sender = authenticateOperator(Request, *ActiveConfig.current());
   if (!Sender)
-    return refusal(Sender.error());
+    return errorResponse(Sender.error());
   HttpResponse Response;
   Response.Body = dump();
   return Response;
@@ -346,7 +347,7 @@
                                    const std::string &) {
   const auto Sender = authenticateOperator(Request, *ActiveConfig.current());
   if (!Sender)
-    return refusal(Sender.error());
+    return errorResponse(Sender.error());
   Poco::JSON::Array::Ptr Rows = new Poco::JSON::Array;
   const Instant Now = monotonicNow();
   for (const auto &Each : Membership.all()) {
@@ -383,18 +384,18 @@
                                              bool Wanted) {
   const auto Sender = authenticateOperator(Request, *ActiveConfig.current());
   if (!Sender)
-    return refusal(Sender.error());
+    return errorResponse(Sender.error());
   MemberRecord Found;
   if (!Membership.find(NodeId(Node), Found) ||
       Found.LastHeartbeat.kind() == wire::ENTRY)
-    return refusal(ResultCode::UnknownPath,
-                   "There is no minion or worker " + Node + ".");
+    return errorResponse(ResultCode::UnknownPath,
+                         "There is no minion or worker " + Node + ".");
   wire::DrainRequest Order;
   Order.set_draining(Wanted);
   const auto Done =
       Peers.drain(Found.LastHeartbeat.rpc_address(), Order, DrainCallTimeout);
   if (!Done)
-    return refusal(Done.error());
+    return errorResponse(Done.error());
   auto Body = makeDump();
   Body->set("node", Node);
   Body->set("draining", Wanted);
--- a/src/entry/EntryProcess.h
+++ b/src/entry/EntryProcess.h
@@ -92,7 +92,7 @@
   MemberTable Membership;
   ClaimStore Claims;
   Router RequestRouter;
-  JobBook JobRecords;
+  JobStore JobRecords;
   EntryContext Context;
   RequestApi Requests;
   JobApi Jobs;
--- a/src/entry/JobApi.cpp
+++ b/src/entry/JobApi.cpp
@@ -122,25 +122,25 @@
   const auto CurrentConfig = Context.ActiveConfig.current();
   const auto Sender = authenticate(Request, *CurrentConfig);
   if (!Sender)
-    return refusal(Sender.error());
+    return errorResponse(Sender.error());
   if (Sender->Workspace.empty())
-    return refusal(ResultCode::WrongWorkspace,
-                   "Submitting a job requires a workspace token.");
+    return errorResponse(ResultCode::WrongWorkspace,
+                         "Submitting a job requires a workspace token.");
   const auto Record = parseJob(Request, *Sender);
   if (!Record)
-    return refusal(Record.error());
+    return errorResponse(Record.error());
   StoredJob Existing;
   const bool Repeat = Context.JobRecords.find(JobId(Record->id()), Existing);
   const auto Limit =
       CurrentConfig->Workspaces.at(Sender->Workspace).MaxQueuedJobs;
   if (!Repeat &&
       Context.JobRecords.openJobs(WorkspaceId(Sender->Workspace)) >= Limit)
-    return refusal(ResultCode::WorkspaceLimit,
-                   "The workspace has reached its limit of " +
-                       std::to_string(Limit) + " open jobs.");
+    return errorResponse(ResultCode::WorkspaceLimit,
+                         "The workspace has reached its limit of " +
+                             std::to_string(Limit) + " open jobs.");
   const auto Accepted = Context.JobRecords.submit(*Record);
   if (!Accepted)
-    return refusal(Accepted.error());
+    return errorResponse(Accepted.error());
   Context.Stats.count("jobs_accepted");
   return jobResponse(Accepted->Record, 202);
 }
@@ -148,7 +148,7 @@
 HttpResponse JobApi::list(const HttpRequest &Request) {
   const auto Sender = authenticate(Request, *Context.ActiveConfig.current());
   if (!Sender)
-    return refusal(Sender.error());
+    return errorResponse(Sender.error());
   wire::JobList List;
   for (const StoredJob &Job : Context.JobRecords.all()) {
     if (!Sender->mayAccess(Job.Record.spec().workspace()))
@@ -165,7 +165,7 @@
                                         const std::string &Id) const {
   StoredJob Found;
   if (!Context.JobRecords.find(JobId(Id), Found)) {
-    auto Read = Context.JobRecords.readThrough(JobId(Id));
+    auto Read = Context.JobRecords.readFromStore(JobId(Id));
     if (!Read)
       return Read;
     Found = *Read;
@@ -179,10 +179,10 @@
 HttpResponse JobApi::show(const HttpRequest &Request, const std::string &Id) {
   const auto Sender = authenticate(Request, *Context.ActiveConfig.current());
   if (!Sender)
-    return refusal(Sender.error());
+    return errorResponse(Sender.error());
   auto Found = findVisible(*Sender, Id);
   if (!Found)
-    return refusal(Found.error());
+    return errorResponse(Found.error());
   const std::string Wait = Request.query("wait_ms");
   if (Wait.empty())
     return jobResponse(Found->Record, 200);
@@ -191,8 +191,8 @@
   const auto Read = std::from_chars(Wait.data(), End, WaitMs);
   if (Read.ec != std::errc() || Read.ptr != End || WaitMs < 0 ||
       WaitMs > MaxWaitMs)
-    return refusal(ResultCode::MalformedRequest,
-                   outOfRange("wait_ms", 0, MaxWaitMs));
+    return errorResponse(ResultCode::MalformedRequest,
+                         outOfRange("wait_ms", 0, MaxWaitMs));
   (void)Context.JobRecords.waitEnded(
       JobId(Id), monotonicNow() + Milliseconds(WaitMs), *Found);
   return jobResponse(Found->Record, 200);
@@ -201,13 +201,13 @@
 HttpResponse JobApi::cancel(const HttpRequest &Request, const std::string &Id) {
   const auto Sender = authenticate(Request, *Context.ActiveConfig.current());
   if (!Sender)
-    return refusal(Sender.error());
+    return errorResponse(Sender.error());
   const auto Found = findVisible(*Sender, Id);
   if (!Found)
-    return refusal(Found.error());
+    return errorResponse(Found.error());
   const auto Cancelled = Context.JobRecords.requestCancel(JobId(Id));
   if (!Cancelled)
-    return refusal(Cancelled.error());
+    return errorResponse(Cancelled.error());
   return jobResponse(Cancelled->Record, 202);
 }
 
--- a/src/entry/JobBook.cpp
+++ b/src/entry/JobStore.cpp
@@ -1,4 +1,4 @@
-#include "entry/JobBook.h"
+#include "entry/JobStore.h"
 
 #include "base/Log.h"
 
@@ -26,21 +26,21 @@
          Record.state() == wire::CANCELLED;
 }
 
-JobBook::JobBook(Store &StoreClient, const std::string &Cell)
+JobStore::JobStore(Store &StoreClient, const std::string &Cell)
     : StoreClient(StoreClient), KeyPrefix("jobs/" + Cell + "/") {}
 
-JobBook::~JobBook() {
+JobStore::~JobStore() {
   Stop = true;
   if (WatchThread.joinable())
     WatchThread.join();
 }
 
-void JobBook::start(Listener ChangeListener) {
+void JobStore::start(Listener ChangeListener) {
   OnChange = std::move(ChangeListener);
   WatchThread = std::thread([this] { run(); });
 }
 
-void JobBook::run() {
+void JobStore::run() {
   while (!Stop) {
     const auto Revision = loadSnapshot();
     if (Revision) {
@@ -55,7 +55,7 @@
   }
 }
 
-Expected<std::int64_t> JobBook::loadSnapshot() {
+Expected<std::int64_t> JobStore::loadSnapshot() {
   const auto Snapshot = StoreClient.list(KeyPrefix);
   if (!Snapshot)
     return tl::unexpected<Error>(Snapshot.error());
@@ -76,7 +76,7 @@
   return Snapshot->Revision;
 }
 
-void JobBook::applyEntry(const StoreEntry &Entry) {
+void JobStore::applyEntry(const StoreEntry &Entry) {
   const std::string Id = Entry.Key.substr(KeyPrefix.size());
   if (Entry.Revision == 0) {
     const std::lock_guard<std::mutex> Lock(Mutex);
@@ -100,7 +100,7 @@
     OnChange(*Job);
 }
 
-Expected<StoredJob> JobBook::submit(const wire::JobRecord &NewRecord) {
+Expected<StoredJob> JobStore::submit(const wire::JobRecord &NewRecord) {
   const std::string Key = keyOf(JobId(NewRecord.id()));
   const auto Written =
       StoreClient.swap(Key, 0, NewRecord.SerializeAsString(), 0);
@@ -110,7 +110,7 @@
   }
   if (Written.error().Code == ResultCode::StoreUnavailable)
     return tl::unexpected<Error>(Written.error());
-  auto Current = readThrough(JobId(NewRecord.id()));
+  auto Current = readFromStore(JobId(NewRecord.id()));
   if (!Current) {
     // Neither the write nor the read shows whether the job was stored.
     if (Written.error().Code == ResultCode::CompareFailed)
@@ -123,7 +123,7 @@
   return Current;
 }
 
-Expected<StoredJob> JobBook::readThrough(const JobId &Id) {
+Expected<StoredJob> JobStore::readFromStore(const JobId &Id) {
   const auto Entry = StoreClient.read(keyOf(Id));
   if (!Entry)
     return tl::unexpected<Error>(Entry.error());
@@ -132,7 +132,7 @@
   return parse(*Entry);
 }
 
-Expected<std::vector<StoredJob>> JobBook::listThrough() {
+Expected<std::vector<StoredJob>> JobStore::listFromStore() {
   const auto Snapshot = StoreClient.list(KeyPrefix);
   if (!Snapshot)
     return tl::unexpected<Error>(Snapshot.error());
@@ -145,9 +145,9 @@
   return Result;
 }
 
-Expected<StoredJob> JobBook::requestCancel(const JobId &Id) {
+Expected<StoredJob> JobStore::requestCancel(const JobId &Id) {
   for (;;) {
-    auto Current = readThrough(Id);
+    auto Current = readFromStore(Id);
     if (!Current || hasEnded(Current->Record) ||
         Current->Record.cancel_requested())
       return Current;
@@ -160,8 +160,8 @@
   }
 }
 
-Expected<std::int64_t> JobBook::write(const wire::JobRecord &Record,
-                                      std::int64_t Revision) {
+Expected<std::int64_t> JobStore::write(const wire::JobRecord &Record,
+                                       std::int64_t Revision) {
   const std::string Key = keyOf(JobId(Record.id()));
   const std::string Value = Record.SerializeAsString();
   auto Written = StoreClient.swap(Key, Revision, Value, 0);
@@ -181,11 +181,11 @@
   return failure(ResultCode::StoreAnswerLost, Written.error().Detail);
 }
 
-Expected<void> JobBook::remove(const JobId &Id, std::int64_t Revision) {
+Expected<void> JobStore::remove(const JobId &Id, std::int64_t Revision) {
   return StoreClient.remove(keyOf(Id), Revision);
 }
 
-bool JobBook::find(const JobId &Id, StoredJob &Found) const {
+bool JobStore::find(const JobId &Id, StoredJob &Found) const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   const auto Cached = Jobs.find(Id.str());
   if (Cached == Jobs.end())
@@ -194,7 +194,7 @@
   return true;
 }
 
-std::vector<StoredJob> JobBook::all() const {
+std::vector<StoredJob> JobStore::all() const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   std::vector<StoredJob> Result;
   for (const auto &[Id, Job] : Jobs)
@@ -202,7 +202,7 @@
   return Result;
 }
 
-std::size_t JobBook::openJobs(const WorkspaceId &Workspace) const {
+std::size_t JobStore::openJobs(const WorkspaceId &Workspace) const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   std::size_t Open = 0;
   for (const auto &[Id, Job] : Jobs)
@@ -212,8 +212,8 @@
   return Open;
 }
 
-bool JobBook::waitEnded(const JobId &Id, Instant Deadline,
-                        StoredJob &Found) const {
+bool JobStore::waitEnded(const JobId &Id, Instant Deadline,
+                         StoredJob &Found) const {
   std::unique_lock<std::mutex> Lock(Mutex);
   const auto Ended = [&] {
     const auto Cached = Jobs.find(Id.str());
--- a/src/entry/JobBook.h
+++ b/src/entry/JobStore.h
@@ -1,5 +1,5 @@
-#ifndef BAOBABCOVE_ENTRY_JOBBOOK_H
-#define BAOBABCOVE_ENTRY_JOBBOOK_H
+#ifndef BAOBABCOVE_ENTRY_JOBSTORE_H
+#define BAOBABCOVE_ENTRY_JOBSTORE_H
 
 #include "baobabcove/Clock.h"
 #include "baobabcove/Ids.h"
@@ -30,13 +30,13 @@
 /// The job records of a cell. Reads are served from a local copy that a store
 /// watch keeps up to date, so they cost the store nothing and work while it is
 /// unavailable. Writes go to the store. Thread-safe.
-class JobBook {
+class JobStore {
 public:
   /// Called for every change of a record, from the thread that learns of it.
   using Listener = std::function<void(const StoredJob &)>;
 
-  JobBook(Store &StoreClient, const std::string &Cell);
-  ~JobBook();
+  JobStore(Store &StoreClient, const std::string &Cell);
+  ~JobStore();
 
   /// Starts the watch.
   void start(Listener ChangeListener);
@@ -60,9 +60,9 @@
   Expected<void> remove(const JobId &Id, std::int64_t Revision);
 
   /// Reads one record from the store, bypassing the local copy.
-  Expected<StoredJob> readThrough(const JobId &Id);
+  Expected<StoredJob> readFromStore(const JobId &Id);
   /// Reads all records from the store, bypassing the local copy.
-  Expected<std::vector<StoredJob>> listThrough();
+  Expected<std::vector<StoredJob>> listFromStore();
 
   bool find(const JobId &Id, StoredJob &Found) const;
   std::vector<StoredJob> all() const;
@@ -94,4 +94,4 @@
 
 } // namespace baobabcove
 
-#endif // BAOBABCOVE_ENTRY_JOBBOOK_H
+#endif // BAOBABCOVE_ENTRY_JOBSTORE_H
--- a/src/entry/RequestApi.cpp
+++ b/src/entry/RequestApi.cpp
@@ -115,12 +115,12 @@
                               const std::string &Service) {
   const auto Sender = authenticate(Request, *Context.ActiveConfig.current());
   if (!Sender)
-    return refusal(Sender.error());
+    return errorResponse(Sender.error());
   const auto Read = parseRequest(Request, Service, *Sender);
   if (!Read)
-    return refusal(Read.error());
+    return errorResponse(Read.error());
   if (auto Allowed = checkRequestLimit(Sender->Workspace); !Allowed)
-    return refusal(Allowed.error());
+    return errorResponse(Allowed.error());
   const Instant StartedAt = monotonicNow();
   const wire::ExecuteReply Reply = Context.RequestRouter.route(*Read);
   Context.Stats.count("requests");
@@ -141,7 +141,7 @@
     Response.ContentType = Reply.content_type();
     Response.Headers["X-Outcome"] = "answered";
   } else {
-    Response = refusal(Code, Reply.detail());
+    Response = errorResponse(Code, Reply.detail());
   }
   if (!RequestId.empty())
     Response.Headers["X-Request-Id"] = RequestId;
@@ -152,15 +152,15 @@
                                 const std::string &Service) {
   const auto Sender = authenticate(Request, *Context.ActiveConfig.current());
   if (!Sender)
-    return refusal(Sender.error());
+    return errorResponse(Sender.error());
   if (Context.ActiveConfig.current()->Services.count(Service) == 0)
-    return refusal(ResultCode::UnknownService,
-                   "There is no service " + Service + ".");
+    return errorResponse(ResultCode::UnknownService,
+                         "There is no service " + Service + ".");
   SlotRequest Wanted{
       Service, Sender->Workspace, {}, monotonicNow() + Milliseconds(1000)};
   const auto Agent = Context.RequestRouter.pool().acquire(Wanted);
   if (!Agent)
-    return refusal(Agent.error());
+    return errorResponse(Agent.error());
   Context.RequestRouter.pool().release(
       Agent->LastHeartbeat.node(), Sender->Workspace, DeliveryResult::Refused,
       Milliseconds(0), -1);
--- a/src/http/HttpServer.cpp
+++ b/src/http/HttpServer.cpp
@@ -107,17 +107,18 @@
       if (isTruncated(Request, Received, BodyFits))
         return false;
       const HttpResponse Answer =
-          BodyFits
-              ? State.Handler(Received)
-              : refusal(ResultCode::BodyTooLarge,
-                        "The body is larger than " +
-                            std::to_string(State.Limits.BodyBytes) + " bytes.");
+          BodyFits ? State.Handler(Received)
+                   : errorResponse(ResultCode::BodyTooLarge,
+                                   "The body is larger than " +
+                                       std::to_string(State.Limits.BodyBytes) +
+                                       " bytes.");
       return send(Response, Answer, BodyFits);
     } catch (const Poco::Net::MessageException &Err) {
       State.Watchdog.release(WatchId);
       send(Response,
-           refusal(ResultCode::HeadersTooLarge,
-                   "The header cannot be parsed: " + Err.displayText() + "."),
+           errorResponse(ResultCode::HeadersTooLarge,
+                         "The header cannot be parsed: " + Err.displayText() +
+                             "."),
            false);
       return false;
     } catch (...) {
@@ -181,7 +182,7 @@
     Params->setMaxThreads(static_cast<int>(Limits.Threads));
     Params->setMaxQueued(static_cast<int>(Limits.Connections));
     Params->setKeepAlive(true);
-    Params->setKeepAliveTimeout(timespan(Limits.Idle));
+    Params->setKeepAliveTimeout(timespan(Limits.IdleTimeout));
     Params->setTimeout(timespan(Limits.ReceiveTimeout));
     Params->setMaxKeepAliveRequests(0);
     Server = std::make_unique<Poco::Net::TCPServer>(
@@ -196,7 +197,7 @@
 
   std::string address() const override { return BoundAddress; }
 
-  void closeAfterAnswers() override { State.Closing = true; }
+  void closeAfterResponses() override { State.Closing = true; }
 
   bool drain(Milliseconds Timeout) override {
     State.Closing = true;
@@ -241,7 +242,7 @@
   }
 }
 
-HttpResponse refusal(ResultCode Code, const std::string &Detail) {
+HttpResponse errorResponse(ResultCode Code, const std::string &Detail) {
   const ResultInfo &Info = resultInfo(Code);
   Poco::JSON::Object Body(Poco::JSON_PRESERVE_KEY_ORDER);
   Body.set("code", static_cast<std::uint32_t>(Code));
@@ -260,6 +261,8 @@
   return Response;
 }
 
-HttpResponse refusal(const Error &Err) { return refusal(Err.Code, Err.Detail); }
+HttpResponse errorResponse(const Error &Err) {
+  return errorResponse(Err.Code, Err.Detail);
+}
 
 } // namespace baobabcove
--- a/src/http/HttpServer.h
+++ b/src/http/HttpServer.h
@@ -43,7 +43,7 @@
   /// Maximum time to receive a request's header and body.
   Milliseconds ReceiveTimeout{5000};
   /// Idle connections are closed after this time.
-  Milliseconds Idle{3000};
+  Milliseconds IdleTimeout{3000};
 };
 
 /// Handles a request. Called concurrently from several threads.
@@ -60,7 +60,7 @@
   virtual std::string address() const = 0;
 
   /// Adds "Connection: close" to every response from now on.
-  virtual void closeAfterAnswers() = 0;
+  virtual void closeAfterResponses() = 0;
 
   /// Stops listening and waits at most \p Timeout for the open connections to
   /// end. Returns whether all have ended.
@@ -75,10 +75,10 @@
 
 /// Returns the JSON error response for \p Code, with its name, outcome and next
 /// step.
-HttpResponse refusal(ResultCode Code, const std::string &Detail);
+HttpResponse errorResponse(ResultCode Code, const std::string &Detail);
 
 /// Returns the JSON error response for \p Err.
-HttpResponse refusal(const Error &Err);
+HttpResponse errorResponse(const Error &Err);
 
 } // namespace baobabcove
 
--- a/src/membership/HeartbeatSender.cpp
+++ b/src/membership/HeartbeatSender.cpp
@@ -94,8 +94,8 @@
 
 bool HeartbeatSender::sendOnce(Receiver &To, std::uint64_t RequestsSeen) {
   const Instant SentAt = monotonicNow();
-  const auto Reply = Peers.beat(To.Address, BuildHeartbeat(),
-                                std::max(MinReplyTimeout, 2 * Period));
+  const auto Reply = Peers.heartbeat(To.Address, BuildHeartbeat(),
+                                     std::max(MinReplyTimeout, 2 * Period));
   if (!Reply) {
     // The connection may never recover; the next heartbeat opens a new one.
     Peers.forget(To.Address);
--- a/src/rpc/Rpc.h
+++ b/src/rpc/Rpc.h
@@ -76,9 +76,9 @@
   RpcPeers();
   ~RpcPeers();
 
-  Expected<wire::HeartbeatReply> beat(const std::string &Address,
-                                      const wire::Heartbeat &Request,
-                                      Milliseconds Timeout);
+  Expected<wire::HeartbeatReply> heartbeat(const std::string &Address,
+                                           const wire::Heartbeat &Request,
+                                           Milliseconds Timeout);
   Expected<wire::ExecuteReply> execute(const std::string &Address,
                                        const wire::ExecuteRequest &Request,
                                        Milliseconds Timeout);
--- a/src/rpc/RpcPeers.cpp
+++ b/src/rpc/RpcPeers.cpp
@@ -81,9 +81,9 @@
   Peers.erase(Address);
 }
 
-Expected<wire::HeartbeatReply> RpcPeers::beat(const std::string &Address,
-                                              const wire::Heartbeat &Request,
-                                              Milliseconds Timeout) {
+Expected<wire::HeartbeatReply>
+RpcPeers::heartbeat(const std::string &Address, const wire::Heartbeat &Request,
+                    Milliseconds Timeout) {
   return callPeer(peer(Address)->EntryStub, &wire::Entry::Stub::Beat, Request,
                   Timeout);
 }
--- a/standins/FleetMain.cpp
+++ b/standins/FleetMain.cpp
@@ -96,8 +96,8 @@
   for (;;) {
     const Instant Start = monotonicNow();
     for (std::size_t I = 0; I < Messages.size(); ++I)
-      (void)Connections[I]->beat(absl::GetFlag(FLAGS_entry), Messages[I],
-                                 HeartbeatTimeout);
+      (void)Connections[I]->heartbeat(absl::GetFlag(FLAGS_entry), Messages[I],
+                                      HeartbeatTimeout);
     std::this_thread::sleep_until(Start + Period);
   }
 }
--- a/tests/http/HttpServerTest.cpp
+++ b/tests/http/HttpServerTest.cpp
@@ -71,7 +71,7 @@
 }
 
 TEST(HttpServer, ClosesConnectionsAfterTheNextResponse) {
-  Server->closeAfterAnswers();
+  Server->closeAfterResponses();
   STRCMP_EQUAL("got x", send("x")->Body.c_str());
   CHECK_TRUE(Server->drain(Milliseconds(5000)));
 }
