--- a/include/baobabcove/ResultCode.h
+++ b/include/baobabcove/ResultCode.h
@@ -75,7 +75,7 @@
 struct ResultInfo {
   ResultCode Code;
   std::string_view Name;
-  Outcome Ran;
+  Outcome RunOutcome;
   /// HTTP status of responses with this result.
   int HttpStatus;
   /// Advice to the caller or operator, one sentence.
--- a/include/baobabcove/Scheduler.h
+++ b/include/baobabcove/Scheduler.h
@@ -141,7 +141,7 @@
 struct GangEnd {
   GangResult Result = GangResult::Succeeded;
   /// The worker that failed or was lost; empty when there is none.
-  NodeId Blamed;
+  NodeId FaultyWorker;
   /// Run time from which the job can resume, since its first start.
   Milliseconds Progress{0};
   /// Whether any task may have run.
@@ -160,7 +160,7 @@
   Milliseconds CheckpointDeadline{20000};
   /// Time allowed for a checkpoint when the stop is not urgent, as for
   /// draining, compaction and preemption by a higher rank.
-  Milliseconds PatientCheckpointDeadline{600000};
+  Milliseconds RelaxedCheckpointDeadline{600000};
   /// Time allowed for a checkpoint when an urgent job reclaims its guarantee.
   Milliseconds UrgentCheckpointDeadline{1200};
   /// Jobs that have waited at least this long rank before all others.
@@ -170,7 +170,7 @@
 };
 
 /// Statistics of a scheduler's current state.
-struct SchedulerFigures {
+struct SchedulerStats {
   std::size_t Queued = 0;
   std::size_t Running = 0;
   std::uint64_t FreeAccelerators = 0;
@@ -241,7 +241,7 @@
   /// is free now.
   bool fitsNow(const JobInfo &Info) const;
 
-  SchedulerFigures figures() const;
+  SchedulerStats stats() const;
 
 private:
   class Core;
--- a/programs/policy_bench/CellSimulator.cpp
+++ b/programs/policy_bench/CellSimulator.cpp
@@ -147,7 +147,7 @@
   const double Span = seconds(Until - Now);
   if (Span <= 0)
     return;
-  const SchedulerFigures Figures = JobScheduler.figures();
+  const SchedulerStats Figures = JobScheduler.stats();
   const double Free = static_cast<double>(Figures.FreeAccelerators);
   const JobInfo *Largest = nullptr;
   for (const JobId &Id : OpenJobs) {
@@ -249,7 +249,7 @@
     Left = Milliseconds(OnFailingWorker ? 1000 : 10000);
     End = {GangResult::Failed, Job.Members[0].Worker, Job.Resume, true, false};
     if (OnFailingWorker)
-      End.Blamed = Input.Workers[Input.FailingWorker].Id;
+      End.FaultyWorker = Input.Workers[Input.FailingWorker].Id;
   }
   schedule(Now + std::max(Left, Milliseconds(1)), [this, &Job, Number, End] {
     if (Job.Attempt == Number && Job.Running)
@@ -344,7 +344,7 @@
 
 void CellSimulator::checkGuarantees() {
   const bool Packable =
-      JobScheduler.figures().UnpackableCells == 0 && DownWorkers.empty();
+      JobScheduler.stats().UnpackableCells == 0 && DownWorkers.empty();
   std::set<std::string> ClaimingWorkspaces;
   for (const JobId &Id : OpenJobs) {
     SimulatedJob &Job = Jobs[Id];
--- a/programs/policy_bench/Measures.cpp
+++ b/programs/policy_bench/Measures.cpp
@@ -121,7 +121,7 @@
   Result.OverLowerBound = Result.MeanCompletion / lowerBoundMean();
   Result.DecisionP50Us = quantile(DecisionUs, 0.5);
   Result.DecisionP99Us = quantile(DecisionUs, 0.99);
-  Result.Reclaims = JobScheduler.figures().Reclaims;
+  Result.Reclaims = JobScheduler.stats().Reclaims;
   Result.GuaranteeViolations = Violations;
   Result.PartialGangs = PartialGangs;
   return Result;
--- a/src/agent/AgentProcess.h
+++ b/src/agent/AgentProcess.h
@@ -4,7 +4,7 @@
 #include "agent/MinionController.h"
 #include "agent/WorkerController.h"
 #include "base/Metrics.h"
-#include "config/ConfigurationKeeper.h"
+#include "config/ActiveConfiguration.h"
 #include "config/Settings.h"
 #include "http/Access.h"
 #include "http/HttpServer.h"
@@ -58,7 +58,7 @@
   const StateCharts Charts;
   const std::uint64_t Incarnation;
   Metrics Stats;
-  ConfigurationKeeper ActiveConfig;
+  ActiveConfiguration ActiveConfig;
   RpcPeers Peers;
   std::unique_ptr<MinionController> Minion;
   std::unique_ptr<WorkerController> Worker;
--- a/src/agent/MinionController.cpp
+++ b/src/agent/MinionController.cpp
@@ -79,7 +79,7 @@
       const auto Code = static_cast<ResultCode>(Reply.code());
       // A request that did not run may be delivered again. Any other outcome
       // is stored.
-      if (resultInfo(Code).Ran == Outcome::NotRun)
+      if (resultInfo(Code).RunOutcome == Outcome::NotRun)
         Outcomes.abandon(Request);
       else
         Outcomes.finish(Request, Reply, monotonicNow());
@@ -105,8 +105,8 @@
   Call.ContentType = Request.content_type();
   Call.Headers["X-Request-Id"] = Request.request_id();
   Call.Headers["X-Workspace"] = Request.workspace();
-  Call.OwnConnection = !Request.idempotent();
-  Call.Patience = std::max(Deadline - monotonicNow(), Milliseconds(1));
+  Call.NewConnection = !Request.idempotent();
+  Call.Timeout = std::max(Deadline - monotonicNow(), Milliseconds(1));
   const Instant StartedAt = monotonicNow();
   auto Answer = Minion.call(Call);
   Stats.sample("minion_ms",
@@ -134,7 +134,7 @@
 }
 
 void MinionController::setDraining(bool Draining) {
-  Lifecycle.take(Draining ? "drain" : "resume");
+  Lifecycle.applyEvent(Draining ? "drain" : "resume");
 }
 
 bool MinionController::draining() const { return !Lifecycle.is("serving"); }
@@ -158,7 +158,7 @@
   HttpCall Call;
   Call.Method = "GET";
   Call.Path = "/health";
-  Call.Patience = HealthTimeout;
+  Call.Timeout = HealthTimeout;
   const auto Answer = Health.call(Call);
   return Answer && Answer->Status == HttpOk;
 }
@@ -168,7 +168,7 @@
   while (!Stopping) {
     Lock.unlock();
     const bool Healthy = isMinionHealthy();
-    if (Lifecycle.take(Healthy ? "accept" : "refuse"))
+    if (Lifecycle.applyEvent(Healthy ? "accept" : "refuse"))
       LOG4CPLUS_INFO(logOf("minion"),
                      "The minion is " << Lifecycle.state() << ".");
     Lock.lock();
--- a/src/agent/WorkerClient.cpp
+++ b/src/agent/WorkerClient.cpp
@@ -49,7 +49,7 @@
     HttpCall Call;
     Call.Method = "GET";
     Call.Path = "/tasks";
-    Call.Patience = CallTimeout;
+    Call.Timeout = CallTimeout;
     auto Answer = Client.call(Call);
     if (!Answer)
       return tl::unexpected<Error>(Answer.error());
--- a/src/agent/WorkerController.cpp
+++ b/src/agent/WorkerController.cpp
@@ -322,8 +322,8 @@
     stopOrphanedTasks();
   const bool Accepts = Report && OrphansStopped && Report->state() == "ready";
   if (OrphansStopped && Lifecycle.is("unheard"))
-    Lifecycle.take("clear");
-  if (Lifecycle.take(Accepts ? "accept" : "refuse")) {
+    Lifecycle.applyEvent("clear");
+  if (Lifecycle.applyEvent(Accepts ? "accept" : "refuse")) {
     LOG4CPLUS_INFO(logOf("worker"),
                    "The worker is " << Lifecycle.state() << ".");
     OnChange();
--- a/src/agent/WorkerController.h
+++ b/src/agent/WorkerController.h
@@ -3,8 +3,8 @@
 
 #include "agent/PartTable.h"
 #include "agent/WorkerClient.h"
+#include "base/BoundedQueue.h"
 #include "base/Metrics.h"
-#include "base/Ring.h"
 #include "base/StateMachine.h"
 #include "config/Settings.h"
 #include "rpc/Rpc.h"
@@ -43,13 +43,13 @@
   wire::InventoryReply inventory(const wire::InventoryRequest &Request);
 
   void setDraining(bool Draining) {
-    Lifecycle.take(Draining ? "drain" : "resume");
+    Lifecycle.applyEvent(Draining ? "drain" : "resume");
   }
   /// Returns whether new parts are refused.
   bool draining() const { return !Lifecycle.is("accepting"); }
   std::string lifecycleState() const { return Lifecycle.state(); }
   /// Returns the number of stops that wait for a thread.
-  std::size_t stopsWaiting() const { return Stops.fill(); }
+  std::size_t stopsWaiting() const { return Stops.size(); }
   /// Returns the number of part events that the task chart did not allow.
   std::uint64_t refusedEvents() const;
   void observeEpoch(Epoch Observed);
@@ -117,7 +117,7 @@
   /// Whether all tasks of earlier incarnations of this agent have stopped.
   bool OrphansStopped = false;
   /// Stops that wait for a thread; normally one per running part.
-  Ring<wire::StopRequest> Stops;
+  BoundedQueue<wire::StopRequest> Stops;
   std::vector<std::thread> StopThreads;
   std::thread SuperviseThread;
   std::thread LeadThread;
--- a/src/base/Ring.h
+++ b/src/base/BoundedQueue.h
@@ -1,5 +1,5 @@
-#ifndef BAOBABCOVE_BASE_RING_H
-#define BAOBABCOVE_BASE_RING_H
+#ifndef BAOBABCOVE_BASE_BOUNDEDQUEUE_H
+#define BAOBABCOVE_BASE_BOUNDEDQUEUE_H
 
 #include "baobabcove/Clock.h"
 
@@ -15,14 +15,15 @@
 namespace baobabcove {
 
 /// Queue of fixed capacity for any number of producer and consumer threads.
-template <class T> class Ring {
+template <class T> class BoundedQueue {
 public:
-  explicit Ring(std::size_t Capacity) : Queue(Capacity), Limit(Capacity) {}
+  explicit BoundedQueue(std::size_t Capacity)
+      : Queue(Capacity), Limit(Capacity) {}
 
-  Ring(const Ring &) = delete;
-  Ring &operator=(const Ring &) = delete;
+  BoundedQueue(const BoundedQueue &) = delete;
+  BoundedQueue &operator=(const BoundedQueue &) = delete;
 
-  ~Ring() {
+  ~BoundedQueue() {
     Queue.consume_all([](T *Item) { delete Item; });
   }
 
@@ -58,7 +59,7 @@
 
   std::size_t capacity() const { return Limit; }
   /// Returns the number of items in the queue.
-  std::size_t fill() const { return Size; }
+  std::size_t size() const { return Size; }
   /// Returns how many items were refused because the queue was full.
   std::size_t refused() const { return Refused; }
 
@@ -73,4 +74,4 @@
 
 } // namespace baobabcove
 
-#endif // BAOBABCOVE_BASE_RING_H
+#endif // BAOBABCOVE_BASE_BOUNDEDQUEUE_H
--- a/src/base/HttpClient.cpp
+++ b/src/base/HttpClient.cpp
@@ -41,7 +41,7 @@
   Session Connection;
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    while (!Call.OwnConnection && !Connection && !IdleSessions.empty()) {
+    while (!Call.NewConnection && !Connection && !IdleSessions.empty()) {
       if (!wasClosed(*IdleSessions.back()))
         Connection = std::move(IdleSessions.back());
       IdleSessions.pop_back();
@@ -53,7 +53,7 @@
     Connection->setKeepAlive(true);
     Connection->setKeepAliveTimeout(timespan(KeepAliveTimeout));
   }
-  Connection->setTimeout(timespan(Call.Patience));
+  Connection->setTimeout(timespan(Call.Timeout));
   return Connection;
 }
 
@@ -68,7 +68,7 @@
   IdleSessions.clear();
 }
 
-Expected<HttpAnswer> HttpClient::call(const HttpCall &Call) {
+Expected<HttpClientResponse> HttpClient::call(const HttpCall &Call) {
   bool Sent = false;
   try {
     Session Connection = acquire(Call);
@@ -84,7 +84,7 @@
     Out << Call.Body << std::flush;
     Poco::Net::HTTPResponse Header;
     std::istream &In = Connection->receiveResponse(Header);
-    HttpAnswer Response;
+    HttpClientResponse Response;
     Response.Status = Header.getStatus();
     Response.ContentType = Header.getContentType();
     Poco::StreamCopier::copyToString(In, Response.Body);
@@ -109,7 +109,7 @@
   HttpCall Call;
   Call.Path = Path;
   Call.Body = toJson(Request);
-  Call.Patience = Timeout;
+  Call.Timeout = Timeout;
   auto Response = call(Call);
   if (!Response)
     return tl::unexpected<Error>(Response.error());
--- a/src/base/HttpClient.h
+++ b/src/base/HttpClient.h
@@ -16,7 +16,7 @@
 namespace baobabcove {
 
 /// The response to an HTTP call.
-struct HttpAnswer {
+struct HttpClientResponse {
   int Status = 0;
   std::string Body;
   std::string ContentType;
@@ -30,10 +30,10 @@
   std::string ContentType = "application/json";
   std::map<std::string, std::string> Headers;
   /// Timeout of connecting, and of each read and write.
-  Milliseconds Patience{2000};
+  Milliseconds Timeout{2000};
   /// Opens a new connection. Set for a call that must not be repeated, since
   /// the peer may just have closed an idle connection.
-  bool OwnConnection = false;
+  bool NewConnection = false;
 };
 
 /// HTTP client of one address, which keeps idle connections for later calls.
@@ -46,7 +46,7 @@
   /// Makes the call. Fails with PeerUnreachable when no connection could be
   /// made, so that nothing was sent, and with OutcomeUnknown when the
   /// connection broke or timed out after the request was sent in part or whole.
-  Expected<HttpAnswer> call(const HttpCall &Call);
+  Expected<HttpClientResponse> call(const HttpCall &Call);
 
   /// Sends \p Request as JSON in a POST to \p Path and parses the JSON response
   /// into \p Reply. Fails as call does, with OutcomeUnknown when the status is
--- a/src/base/StateMachine.h
+++ b/src/base/StateMachine.h
@@ -21,7 +21,7 @@
 
   /// Applies \p Event and returns whether the state has changed. An event that
   /// the chart does not allow is counted and has no other effect.
-  bool take(const std::string &Event) {
+  bool applyEvent(const std::string &Event) {
     const std::lock_guard<std::mutex> Lock(Mutex);
     const Expected<std::string> Next = Chart.next(State, Event);
     if (!Next)
--- a/src/cli/ConfigurationVerbs.cpp
+++ b/src/cli/ConfigurationVerbs.cpp
@@ -87,9 +87,9 @@
   if (!Files)
     return reportError(Files.error());
   const ConfigurationReport Report = readConfiguration(toBundle(*Files));
-  for (const ConfigurationFault &Fault : Report.Faults)
+  for (const ConfigurationError &Fault : Report.Errors)
     Err << Fault.str() << '\n';
-  if (!Report.Faults.empty())
+  if (!Report.Errors.empty())
     return CtlExit::Refused;
   // Only an entry knows the workers against which guarantees are checked.
   if (!Options.Entries.empty())
--- a/src/cli/CtlCommand.cpp
+++ b/src/cli/CtlCommand.cpp
@@ -98,18 +98,18 @@
   return CtlExit::Usage;
 }
 
-Expected<HttpAnswer> CtlCommand::call(const std::string &Method,
-                                      const std::string &Path,
-                                      const std::string &Body,
-                                      const HttpCall &Extra) {
+Expected<HttpClientResponse> CtlCommand::call(const std::string &Method,
+                                              const std::string &Path,
+                                              const std::string &Body,
+                                              const HttpCall &Extra) {
   HttpCall Call = Extra;
   Call.Method = Method;
   Call.Path = Path;
   Call.Body = Body;
-  Call.Patience = Options.Timeout;
+  Call.Timeout = Options.Timeout;
   if (!Options.Token.empty())
     Call.Headers["Authorization"] = "Bearer " + Options.Token;
-  Expected<HttpAnswer> Response =
+  Expected<HttpClientResponse> Response =
       failure(ResultCode::PeerUnreachable,
               "--entry is missing: name at least one entry as ip:port.");
   for (const std::string &Entry : Options.Entries) {
@@ -126,14 +126,15 @@
 CtlExit CtlCommand::reportError(const Error &Fault) {
   const ResultInfo &Info = resultInfo(Fault.Code);
   Err << static_cast<std::uint32_t>(Fault.Code) << ' ' << Info.Name << " ("
-      << outcomeName(Info.Ran) << "): " << Fault.Detail << '\n'
+      << outcomeName(Info.RunOutcome) << "): " << Fault.Detail << '\n'
       << Info.NextStep << '\n';
   if (Fault.Code == ResultCode::PeerUnreachable)
     return CtlExit::Unreachable;
-  return Info.Ran == Outcome::Unknown ? CtlExit::Unknown : CtlExit::Refused;
+  return Info.RunOutcome == Outcome::Unknown ? CtlExit::Unknown
+                                             : CtlExit::Refused;
 }
 
-CtlExit CtlCommand::reportErrorResponse(const HttpAnswer &Response) {
+CtlExit CtlCommand::reportErrorResponse(const HttpClientResponse &Response) {
   const auto Body = parseObject(Response.Body);
   if (!Body || !Body->has("code")) {
     Err << "The entry returned HTTP status " << Response.Status
@@ -150,7 +151,7 @@
                                                  : CtlExit::Refused;
 }
 
-CtlExit CtlCommand::printObject(const Expected<HttpAnswer> &Response) {
+CtlExit CtlCommand::printObject(const Expected<HttpClientResponse> &Response) {
   if (!Response)
     return reportError(Response.error());
   if (Response->Status != HttpOk && Response->Status != HttpAccepted)
@@ -167,7 +168,7 @@
   return CtlExit::Ok;
 }
 
-CtlExit CtlCommand::printList(const Expected<HttpAnswer> &Response,
+CtlExit CtlCommand::printList(const Expected<HttpClientResponse> &Response,
                               const std::string &ListKey,
                               const std::vector<std::string> &Columns,
                               const std::string &Kind) {
@@ -225,8 +226,8 @@
         Record.state() == wire::CANCELLED) {
       (void)printObject(Response);
       const auto Code = static_cast<ResultCode>(Record.code());
-      return resultInfo(Code).Ran == Outcome::Unknown ? CtlExit::Unknown
-                                                      : CtlExit::Refused;
+      return resultInfo(Code).RunOutcome == Outcome::Unknown ? CtlExit::Unknown
+                                                             : CtlExit::Refused;
     }
     if (Remaining <= 0) {
       (void)printObject(Response);
--- a/src/cli/CtlCommand.h
+++ b/src/cli/CtlCommand.h
@@ -86,17 +86,18 @@
   CtlExit digest(const Words &Arguments);
 
   /// Sends a request to the entries in order until one is reachable.
-  Expected<HttpAnswer> call(const std::string &Method, const std::string &Path,
-                            const std::string &Body = {},
-                            const HttpCall &Extra = {});
+  Expected<HttpClientResponse> call(const std::string &Method,
+                                    const std::string &Path,
+                                    const std::string &Body = {},
+                                    const HttpCall &Extra = {});
   CtlExit reportError(const Error &Fault);
-  CtlExit reportErrorResponse(const HttpAnswer &Response);
+  CtlExit reportErrorResponse(const HttpClientResponse &Response);
   /// Prints a JSON object as one row per key, or as it came with --output=json.
-  CtlExit printObject(const Expected<HttpAnswer> &Response);
+  CtlExit printObject(const Expected<HttpClientResponse> &Response);
   /// Prints the objects of the array \p ListKey as a table of \p Columns;
   /// dotted column names select fields of nested objects. A non-empty \p Kind
   /// keeps only objects of that kind.
-  CtlExit printList(const Expected<HttpAnswer> &Response,
+  CtlExit printList(const Expected<HttpClientResponse> &Response,
                     const std::string &ListKey,
                     const std::vector<std::string> &Columns,
                     const std::string &Kind = {});
--- a/src/config/ConfigurationKeeper.cpp
+++ b/src/config/ActiveConfiguration.cpp
@@ -1,13 +1,14 @@
-#include "config/ConfigurationKeeper.h"
+#include "config/ActiveConfiguration.h"
 
 #include "base/Log.h"
 
 namespace baobabcove {
 
-ConfigurationKeeper::ConfigurationKeeper()
+ActiveConfiguration::ActiveConfiguration()
     : Parsed(std::make_shared<Configuration>()) {}
 
-bool ConfigurationKeeper::offer(const wire::ConfigurationBundle &NewBundle) {
+bool ActiveConfiguration::installIfNewer(
+    const wire::ConfigurationBundle &NewBundle) {
   if (NewBundle.version() <= version().value())
     return false;
   auto Report = readConfiguration(NewBundle);
@@ -30,22 +31,22 @@
   return true;
 }
 
-ConfigurationVersion ConfigurationKeeper::version() const {
+ConfigurationVersion ActiveConfiguration::version() const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   return ConfigurationVersion(Bundle.version());
 }
 
-std::shared_ptr<const Configuration> ConfigurationKeeper::current() const {
+std::shared_ptr<const Configuration> ActiveConfiguration::current() const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   return Parsed;
 }
 
-wire::ConfigurationBundle ConfigurationKeeper::bundle() const {
+wire::ConfigurationBundle ActiveConfiguration::bundle() const {
   const std::lock_guard<std::mutex> Lock(Mutex);
   return Bundle;
 }
 
-void ConfigurationKeeper::listen(Listener NewListener) {
+void ActiveConfiguration::addListener(Listener NewListener) {
   const std::lock_guard<std::mutex> Lock(Mutex);
   Listeners.push_back(std::move(NewListener));
 }
--- a/src/config/ConfigurationKeeper.h
+++ b/src/config/ActiveConfiguration.h
@@ -1,5 +1,5 @@
-#ifndef BAOBABCOVE_CONFIG_CONFIGURATIONKEEPER_H
-#define BAOBABCOVE_CONFIG_CONFIGURATIONKEEPER_H
+#ifndef BAOBABCOVE_CONFIG_ACTIVECONFIGURATION_H
+#define BAOBABCOVE_CONFIG_ACTIVECONFIGURATION_H
 
 #include "config/Configuration.h"
 
@@ -11,23 +11,23 @@
 
 /// Holds the configuration that is in force in this process. Ignores older
 /// versions, so that a process never goes back to one. Thread-safe.
-class ConfigurationKeeper {
+class ActiveConfiguration {
 public:
   using Listener = std::function<void(const Configuration &)>;
 
-  ConfigurationKeeper();
+  ActiveConfiguration();
 
   /// Puts \p Bundle into force if its version is higher than the current one,
   /// and notifies the listeners from the calling thread. Returns whether it was
   /// put into force.
-  bool offer(const wire::ConfigurationBundle &Bundle);
+  bool installIfNewer(const wire::ConfigurationBundle &Bundle);
 
   ConfigurationVersion version() const;
   std::shared_ptr<const Configuration> current() const;
   wire::ConfigurationBundle bundle() const;
 
   /// Registers \p Listener to be called with each later version.
-  void listen(Listener Listener);
+  void addListener(Listener Listener);
 
 private:
   mutable std::mutex Mutex;
@@ -38,4 +38,4 @@
 
 } // namespace baobabcove
 
-#endif // BAOBABCOVE_CONFIG_CONFIGURATIONKEEPER_H
+#endif // BAOBABCOVE_CONFIG_ACTIVECONFIGURATION_H
--- a/src/config/Configuration.cpp
+++ b/src/config/Configuration.cpp
@@ -29,7 +29,7 @@
     try {
       readRoot(YAML::Load(Source.content()));
     } catch (const YAML::Exception &Exception) {
-      Report.Faults.push_back(
+      Report.Errors.push_back(
           {File, Exception.mark.line + 1, "", Exception.msg});
     }
   }
@@ -83,7 +83,7 @@
   void addError(const YAML::Mark &Mark, const std::string &Key,
                 const std::string &Problem) {
     const int Line = Mark.is_null() ? 0 : Mark.line + 1;
-    Report.Faults.push_back({File, Line, Key, Problem});
+    Report.Errors.push_back({File, Line, Key, Problem});
   }
 
   void addUnknownKey(const YAML::Node &Name, const std::string &Path,
@@ -340,7 +340,7 @@
 
 } // namespace
 
-std::string ConfigurationFault::str() const {
+std::string ConfigurationError::str() const {
   std::string Text = File;
   if (Line > 0)
     Text += ":" + std::to_string(Line);
--- a/src/config/Configuration.h
+++ b/src/config/Configuration.h
@@ -44,7 +44,7 @@
 };
 
 /// One error in the operators' configuration files.
-struct ConfigurationFault {
+struct ConfigurationError {
   std::string File;
   /// Line number from 1; 0 when the error has no single line.
   int Line = 0;
@@ -60,7 +60,7 @@
 /// are no errors.
 struct ConfigurationReport {
   Configuration Result;
-  std::vector<ConfigurationFault> Faults;
+  std::vector<ConfigurationError> Errors;
 };
 
 /// Merges the files of \p Bundle in the order of their names, where a later
--- a/src/coordinator/Coordinator.cpp
+++ b/src/coordinator/Coordinator.cpp
@@ -33,7 +33,7 @@
 Coordinator::Coordinator(const Settings &Opts, const StateChart &JobChart,
                          Store &ClusterStore, RpcPeers &Peers,
                          JobStore &JobRecords, const MemberTable &Membership,
-                         ConfigurationKeeper &Configurations, Metrics &Stats)
+                         ActiveConfiguration &Configurations, Metrics &Stats)
     : Opts(Opts), JobStates(JobChart, Stats), ClusterStore(ClusterStore),
       JobRecords(JobRecords), Membership(Membership),
       Configurations(Configurations), Stats(Stats), Events(EventCapacity),
@@ -41,7 +41,8 @@
       Actions(Peers, JobRecords, RecordWriter, JobStates),
       LossDetector(lossTimeouts(Opts)), PublishedDump(makeDump()) {
   for (std::size_t I = 0; I < ExecutorCount; ++I)
-    WorkQueues.push_back(std::make_unique<Ring<WorkItem>>(WorkQueueCapacity));
+    WorkQueues.push_back(
+        std::make_unique<BoundedQueue<WorkItem>>(WorkQueueCapacity));
   for (std::size_t I = 0; I < ExecutorCount; ++I)
     ExecutorThreads.emplace_back([this, I] { executeLoop(I); });
   DecisionThread = std::thread([this] { decideLoop(); });
@@ -395,13 +396,13 @@
                                            "deciding"};
   Out->set("stage", StageNames[static_cast<int>(CurrentStage)]);
   Out->set("epoch", HeldEpoch.value());
-  Out->set("events_waiting", Events.fill());
+  Out->set("events_waiting", Events.size());
   Out->set("events_capacity", Events.capacity());
   Out->set("events_refused", Events.refused());
   std::size_t OrdersWaiting = 0;
   std::size_t OrdersRefused = 0;
   for (const auto &Queue : WorkQueues) {
-    OrdersWaiting += Queue->fill();
+    OrdersWaiting += Queue->size();
     OrdersRefused += Queue->refused();
   }
   Out->set("orders_waiting", OrdersWaiting);
@@ -411,15 +412,15 @@
   Out->set("gangs", Gangs.all().size());
   Out->set("workers_known", Workers.size());
   if (JobScheduler) {
-    const SchedulerFigures SchedulerStats = JobScheduler->figures();
-    Out->set("jobs_queued", SchedulerStats.Queued);
-    Out->set("jobs_running", SchedulerStats.Running);
-    Out->set("accelerators_free", SchedulerStats.FreeAccelerators);
-    Out->set("accelerators", SchedulerStats.TotalAccelerators);
-    Out->set("workers_quarantined", SchedulerStats.Quarantined);
-    Out->set("guarantee_cells_unpackable", SchedulerStats.UnpackableCells);
-    Out->set("reclaims", SchedulerStats.Reclaims);
-    Out->set("compactions", SchedulerStats.Compactions);
+    const SchedulerStats CurrentStats = JobScheduler->stats();
+    Out->set("jobs_queued", CurrentStats.Queued);
+    Out->set("jobs_running", CurrentStats.Running);
+    Out->set("accelerators_free", CurrentStats.FreeAccelerators);
+    Out->set("accelerators", CurrentStats.TotalAccelerators);
+    Out->set("workers_quarantined", CurrentStats.Quarantined);
+    Out->set("guarantee_cells_unpackable", CurrentStats.UnpackableCells);
+    Out->set("reclaims", CurrentStats.Reclaims);
+    Out->set("compactions", CurrentStats.Compactions);
   }
   const std::lock_guard<std::mutex> Lock(DumpMutex);
   PublishedDump = Out;
--- a/src/coordinator/Coordinator.h
+++ b/src/coordinator/Coordinator.h
@@ -1,9 +1,9 @@
 #ifndef BAOBABCOVE_COORDINATOR_COORDINATOR_H
 #define BAOBABCOVE_COORDINATOR_COORDINATOR_H
 
+#include "base/BoundedQueue.h"
 #include "base/Metrics.h"
-#include "base/Ring.h"
-#include "config/ConfigurationKeeper.h"
+#include "config/ActiveConfiguration.h"
 #include "coordinator/GangActions.h"
 #include "coordinator/GangTracker.h"
 #include "coordinator/JobRecordWriter.h"
@@ -34,7 +34,7 @@
   Coordinator(const Settings &Opts, const StateChart &JobChart,
               Store &ClusterStore, RpcPeers &Peers, JobStore &JobRecords,
               const MemberTable &Membership,
-              ConfigurationKeeper &Configurations, Metrics &Stats);
+              ActiveConfiguration &Configurations, Metrics &Stats);
   ~Coordinator();
 
   /// Handles a change of the coordinator role: its epoch when it was acquired,
@@ -141,11 +141,11 @@
   Store &ClusterStore;
   JobStore &JobRecords;
   const MemberTable &Membership;
-  ConfigurationKeeper &Configurations;
+  ActiveConfiguration &Configurations;
   Metrics &Stats;
-  Ring<Event> Events;
+  BoundedQueue<Event> Events;
   std::atomic<bool> EventsDropped{false};
-  std::vector<std::unique_ptr<Ring<WorkItem>>> WorkQueues;
+  std::vector<std::unique_ptr<BoundedQueue<WorkItem>>> WorkQueues;
   JobRecordWriter RecordWriter;
   GangActions Actions;
 
--- a/src/coordinator/GangTracker.cpp
+++ b/src/coordinator/GangTracker.cpp
@@ -163,10 +163,10 @@
   }
   if (hasPhase(Gang, wire::FAILED)) {
     End.Result = GangResult::Failed;
-    End.Blamed = firstNodeInPhase(Gang, wire::FAILED);
+    End.FaultyWorker = firstNodeInPhase(Gang, wire::FAILED);
   } else if (hasPhase(Gang, wire::LOST)) {
     End.Result = GangResult::Lost;
-    End.Blamed = firstNodeInPhase(Gang, wire::LOST);
+    End.FaultyWorker = firstNodeInPhase(Gang, wire::LOST);
   } else if (hasPhase(Gang, wire::STOPPED)) {
     End.Result = GangResult::Stopped;
     if (End.Checkpointed)
--- a/src/entry/ConfigurationApi.cpp
+++ b/src/entry/ConfigurationApi.cpp
@@ -21,7 +21,7 @@
 /// Returns an error response that lists every fault of the files.
 HttpResponse faultResponse(const ConfigurationReport &Report) {
   std::string Detail;
-  for (const ConfigurationFault &Fault : Report.Faults)
+  for (const ConfigurationError &Fault : Report.Errors)
     Detail += (Detail.empty() ? "" : "\n") + Fault.str();
   return errorResponse(ResultCode::ConfigurationInvalid, Detail);
 }
@@ -156,7 +156,7 @@
   wire::ConfigurationBundle Candidate;
   *Candidate.mutable_files() = Change.files();
   const ConfigurationReport Report = readConfiguration(Candidate);
-  if (!Report.Faults.empty())
+  if (!Report.Errors.empty())
     return faultResponse(Report);
   if (auto Packable = checkGuarantees(Report); !Packable)
     return errorResponse(Packable.error());
@@ -169,7 +169,7 @@
     const auto Accepted = commitChange(Change, Sender->Operator);
     if (!Accepted)
       return errorResponse(Accepted.error());
-    Context.ActiveConfig.offer(*Accepted);
+    Context.ActiveConfig.installIfNewer(*Accepted);
     Body->set("version", Accepted->version());
     LOG4CPLUS_INFO(logOf("config"), "Accepted version "
                                         << Accepted->version() << " from "
--- a/src/entry/EntryContext.h
+++ b/src/entry/EntryContext.h
@@ -2,7 +2,7 @@
 #define BAOBABCOVE_ENTRY_ENTRYCONTEXT_H
 
 #include "base/Metrics.h"
-#include "config/ConfigurationKeeper.h"
+#include "config/ActiveConfiguration.h"
 #include "config/Settings.h"
 #include "entry/JobStore.h"
 #include "entry/Router.h"
@@ -21,7 +21,7 @@
   Store &StoreClient;
   RpcPeers &Peers;
   MemberTable &Membership;
-  ConfigurationKeeper &ActiveConfig;
+  ActiveConfiguration &ActiveConfig;
   JobStore &JobRecords;
   Router &RequestRouter;
 };
--- a/src/entry/EntryProcess.cpp
+++ b/src/entry/EntryProcess.cpp
@@ -82,7 +82,7 @@
       [this](const wire::HeartbeatReply &Reply, Instant SentAt) {
         onHeartbeatReply(Reply, SentAt);
       });
-  ActiveConfig.listen([this](const Configuration &) {
+  ActiveConfig.addListener([this](const Configuration &) {
     CellCoordinator->configurationChanged();
     Heartbeats->sendNow();
   });
@@ -180,7 +180,7 @@
   const auto Offer = [this](const StoreEntry &Entry) {
     wire::ConfigurationBundle Bundle;
     if (Entry.Revision != 0 && Bundle.ParseFromString(Entry.Value))
-      ActiveConfig.offer(Bundle);
+      ActiveConfig.installIfNewer(Bundle);
   };
   while (!Stopping) {
     const auto Snapshot = WatchStoreClient->list("config/");
--- a/src/entry/EntryProcess.h
+++ b/src/entry/EntryProcess.h
@@ -87,7 +87,7 @@
   Metrics Stats;
   std::unique_ptr<Store> StoreClient;
   std::unique_ptr<Store> WatchStoreClient;
-  ConfigurationKeeper ActiveConfig;
+  ActiveConfiguration ActiveConfig;
   RpcPeers Peers;
   MemberTable Membership;
   ClaimStore Claims;
--- a/src/entry/RequestApi.cpp
+++ b/src/entry/RequestApi.cpp
@@ -133,7 +133,7 @@
                                     const std::string &RequestId) const {
   const auto Code = static_cast<ResultCode>(Reply.code());
   Context.Stats.count("outcome_" +
-                      std::string(outcomeName(resultInfo(Code).Ran)));
+                      std::string(outcomeName(resultInfo(Code).RunOutcome)));
   HttpResponse Response;
   if (Code == ResultCode::Ok) {
     Response.Status = static_cast<int>(Reply.http_status());
--- a/src/entry/Router.cpp
+++ b/src/entry/Router.cpp
@@ -28,7 +28,7 @@
 }
 
 bool didNotRun(const wire::ExecuteReply &Reply) {
-  return resultInfo(codeOf(Reply)).Ran == Outcome::NotRun;
+  return resultInfo(codeOf(Reply)).RunOutcome == Outcome::NotRun;
 }
 
 /// Returns whether another minion may accept a request refused with \p Code.
@@ -89,9 +89,10 @@
   if (remaining(Request).count() == 0)
     return false;
   const bool Retryable =
-      didNotRun(Reply) ? isMinionSpecific(codeOf(Reply))
-                       : resultInfo(codeOf(Reply)).Ran == Outcome::Unknown &&
-                             Request.Message.idempotent();
+      didNotRun(Reply)
+          ? isMinionSpecific(codeOf(Reply))
+          : resultInfo(codeOf(Reply)).RunOutcome == Outcome::Unknown &&
+                Request.Message.idempotent();
   if (!Retryable)
     return false;
   if (Budget.tryWithdraw()) {
--- a/src/http/HttpServer.cpp
+++ b/src/http/HttpServer.cpp
@@ -247,7 +247,7 @@
   Poco::JSON::Object Body(Poco::JSON_PRESERVE_KEY_ORDER);
   Body.set("code", static_cast<std::uint32_t>(Code));
   Body.set("name", std::string(Info.Name));
-  Body.set("outcome", std::string(outcomeName(Info.Ran)));
+  Body.set("outcome", std::string(outcomeName(Info.RunOutcome)));
   Body.set("detail", Detail);
   Body.set("next_step", std::string(Info.NextStep));
   std::ostringstream Out;
@@ -255,7 +255,7 @@
   HttpResponse Response;
   Response.Status = Info.HttpStatus == 200 ? 500 : Info.HttpStatus;
   Response.Body = Out.str();
-  Response.Headers["X-Outcome"] = std::string(outcomeName(Info.Ran));
+  Response.Headers["X-Outcome"] = std::string(outcomeName(Info.RunOutcome));
   if (Response.Status == 503 || Response.Status == 429)
     Response.Headers["Retry-After"] = "1";
   return Response;
--- a/src/membership/HeartbeatSender.cpp
+++ b/src/membership/HeartbeatSender.cpp
@@ -16,7 +16,7 @@
 } // namespace
 
 HeartbeatSender::HeartbeatSender(RpcPeers &Peers,
-                                 ConfigurationKeeper &Configurations,
+                                 ActiveConfiguration &Configurations,
                                  Milliseconds Period,
                                  HeartbeatSource BuildHeartbeat,
                                  ReplyListener OnReply)
@@ -118,7 +118,7 @@
 void HeartbeatSender::handleReply(const wire::HeartbeatReply &Reply,
                                   Instant SentAt) {
   if (Reply.has_configuration())
-    Configurations.offer(Reply.configuration());
+    Configurations.installIfNewer(Reply.configuration());
   OnReply(Reply, SentAt);
   for (const auto &Entry : Reply.entries())
     add(Entry.rpc_address(), false);
--- a/src/membership/HeartbeatSender.h
+++ b/src/membership/HeartbeatSender.h
@@ -2,7 +2,7 @@
 #define BAOBABCOVE_MEMBERSHIP_HEARTBEATSENDER_H
 
 #include "baobabcove/Clock.h"
-#include "config/ConfigurationKeeper.h"
+#include "config/ActiveConfiguration.h"
 #include "rpc/Rpc.h"
 
 #include <atomic>
@@ -30,7 +30,7 @@
 /// replaced.
 class HeartbeatSender {
 public:
-  HeartbeatSender(RpcPeers &Peers, ConfigurationKeeper &Configurations,
+  HeartbeatSender(RpcPeers &Peers, ActiveConfiguration &Configurations,
                   Milliseconds Period, HeartbeatSource BuildHeartbeat,
                   ReplyListener OnReply);
   ~HeartbeatSender();
@@ -74,7 +74,7 @@
   void handleReply(const wire::HeartbeatReply &Reply, Instant SentAt);
 
   RpcPeers &Peers;
-  ConfigurationKeeper &Configurations;
+  ActiveConfiguration &Configurations;
   const Milliseconds Period;
   const HeartbeatSource BuildHeartbeat;
   const ReplyListener OnReply;
--- a/src/scheduler/Scheduler.cpp
+++ b/src/scheduler/Scheduler.cpp
@@ -104,6 +104,6 @@
   return Impl->fitsNow(Info);
 }
 
-SchedulerFigures Scheduler::figures() const { return Impl->figures(); }
+SchedulerStats Scheduler::stats() const { return Impl->figures(); }
 
 } // namespace baobabcove
--- a/src/scheduler/SchedulerCore.cpp
+++ b/src/scheduler/SchedulerCore.cpp
@@ -256,7 +256,7 @@
   }
   const bool WasStarted = Gang->Phase != JobPhase::Starting;
   if (End.Result == GangResult::Failed && WasStarted)
-    countWorkerFailure(*Gang, End.Blamed, Now);
+    countWorkerFailure(*Gang, End.FaultyWorker, Now);
   release(*Gang);
   Gang->CheckpointedRun = std::max(Gang->CheckpointedRun, End.Progress);
   if (Gang->CancelRequested)
@@ -294,11 +294,11 @@
 
 void Scheduler::Core::gangFailed(Job &Gang, const GangEnd &End, Instant Now) {
   ++Gang.Failures;
-  if (!End.Blamed.empty())
-    Gang.FailedOn.insert(End.Blamed);
+  if (!End.FaultyWorker.empty())
+    Gang.FailedOn.insert(End.FaultyWorker);
   if (!Gang.Info.Idempotent && End.MayHaveRun) {
     endJob(Gang, ResultCode::JobFailed,
-           "A task failed on " + End.Blamed.str() +
+           "A task failed on " + End.FaultyWorker.str() +
                "; a job that is not idempotent is not retried.");
     return;
   }
@@ -360,8 +360,8 @@
   return Placement->choose(Workers, Need, Slots, Chosen);
 }
 
-SchedulerFigures Scheduler::Core::figures() const {
-  SchedulerFigures Result;
+SchedulerStats Scheduler::Core::figures() const {
+  SchedulerStats Result;
   Result.Queued = Queue.size() + Reservations.size();
   Result.Running = Jobs.size() - Result.Queued;
   Result.FreeAccelerators = Workers.freeAccelerators();
--- a/src/scheduler/SchedulerCore.h
+++ b/src/scheduler/SchedulerCore.h
@@ -48,7 +48,7 @@
   bool canEverRun(const JobInfo &Info) const;
   bool fitsNow(const JobInfo &Info) const;
   const Job *find(const JobId &Id) const;
-  SchedulerFigures figures() const;
+  SchedulerStats figures() const;
 
   SchedulerOptions Options;
   Cluster Workers;
--- a/src/scheduler/SchedulerDecide.cpp
+++ b/src/scheduler/SchedulerDecide.cpp
@@ -115,8 +115,8 @@
       if (Gang->Phase != JobPhase::Running || !Gang->Info.Idempotent)
         continue;
       stopGang(*Gang, StopReason::Drained, true,
-               Options.PatientCheckpointDeadline);
-      Gang->StopDeadline = Now + Options.PatientCheckpointDeadline;
+               Options.RelaxedCheckpointDeadline);
+      Gang->StopDeadline = Now + Options.RelaxedCheckpointDeadline;
     }
   }
 }
@@ -351,7 +351,7 @@
   if (!aged(Pending, Now) && Plan.Cost > remainingWork(Pending, Now))
     return false;
   stopVictims(Plan.Victims, StopReason::Outranked,
-              Options.PatientCheckpointDeadline, Now);
+              Options.RelaxedCheckpointDeadline, Now);
   startOrReserve(Pending, std::move(Plan.Members), true, {});
   Pending.Protected = aged(Pending, Now);
   return true;
@@ -382,7 +382,7 @@
     return false;
   Compactions += Plan.Victims.size();
   stopVictims(Plan.Victims, StopReason::Compacted,
-              Options.PatientCheckpointDeadline, Now);
+              Options.RelaxedCheckpointDeadline, Now);
   startOrReserve(Pending, std::move(Plan.Members), true, {});
   return true;
 }
--- a/src/tasks/TaskAgent.h
+++ b/src/tasks/TaskAgent.h
@@ -1,8 +1,8 @@
 #ifndef BAOBABCOVE_TASKS_TASKAGENT_H
 #define BAOBABCOVE_TASKS_TASKAGENT_H
 
+#include "base/BoundedQueue.h"
 #include "base/Metrics.h"
-#include "base/Ring.h"
 #include "rpc/Rpc.h"
 #include "store/TransactionalStore.h"
 #include "tasks/RunOrderTracker.h"
@@ -131,7 +131,7 @@
   Epoch Term;
   wire::TaskOrders Orders;
   RunOrderTracker RunOrders;
-  Ring<QueuedOrder> Queue;
+  BoundedQueue<QueuedOrder> Queue;
   std::vector<std::thread> Threads;
 };
 
--- a/tests/base/ResultCodeTest.cpp
+++ b/tests/base/ResultCodeTest.cpp
@@ -15,8 +15,8 @@
   std::ostringstream Out;
   for (const ResultInfo &Row : resultTable())
     Out << "| " << static_cast<std::uint32_t>(Row.Code) << " | " << Row.Name
-        << " | " << outcomeName(Row.Ran) << " | " << Row.HttpStatus << " | "
-        << Row.NextStep << " |\n";
+        << " | " << outcomeName(Row.RunOutcome) << " | " << Row.HttpStatus
+        << " | " << Row.NextStep << " |\n";
   return Out.str();
 }
 
--- a/tests/base/StateChartTest.cpp
+++ b/tests/base/StateChartTest.cpp
@@ -60,8 +60,8 @@
   const auto Chart = StateChart::parse(Door, "door");
   Metrics Stats;
   StateMachine Machine(*Chart, Stats);
-  CHECK_TRUE(Machine.take("open"));
-  CHECK_FALSE(Machine.take("burn"));
+  CHECK_TRUE(Machine.applyEvent("open"));
+  CHECK_FALSE(Machine.applyEvent("burn"));
   STRCMP_EQUAL("ajar", Machine.state().c_str());
   LONGS_EQUAL(1, Stats.dump()->getValue<int>(EventsNotAllowed));
 }
--- a/tests/config/ConfigurationTest.cpp
+++ b/tests/config/ConfigurationTest.cpp
@@ -26,7 +26,7 @@
 
 std::string faultsText(const ConfigurationReport &Report) {
   std::string Text;
-  for (const auto &Fault : Report.Faults)
+  for (const auto &Fault : Report.Errors)
     Text += Fault.str() + "\n";
   return Text;
 }
@@ -64,15 +64,15 @@
 TEST(Configuration, ReportsTheLineOfMalformedYaml) {
   const auto Report =
       readConfiguration(makeBundle({{"10.yaml", "operators: {yuki\nx: ]\n"}}));
-  CHECK_TRUE(!Report.Faults.empty());
-  STRCMP_EQUAL("10.yaml", Report.Faults[0].File.c_str());
-  CHECK_TRUE(Report.Faults[0].Line > 0);
+  CHECK_TRUE(!Report.Errors.empty());
+  STRCMP_EQUAL("10.yaml", Report.Errors[0].File.c_str());
+  CHECK_TRUE(Report.Errors[0].Line > 0);
 }
 
 TEST(Configuration, RefusesAConfigurationWithoutOperators) {
   const auto Report = readConfiguration(makeBundle({{"10.yaml", ""}}));
-  LONGS_EQUAL(1, Report.Faults.size());
-  STRCMP_EQUAL("operators", Report.Faults[0].Key.c_str());
+  LONGS_EQUAL(1, Report.Errors.size());
+  STRCMP_EQUAL("operators", Report.Errors[0].Key.c_str());
 }
 
 TEST(Configuration, ReadsGuaranteedShapes) {
--- a/tests/coordinator/GangTrackerTest.cpp
+++ b/tests/coordinator/GangTrackerTest.cpp
@@ -104,7 +104,7 @@
   CHECK_TRUE(GangTransition::Broken == report(Gang, 1, wire::FAILED));
   CHECK_TRUE(GangTransition::Ended == report(Gang, 0, wire::STOPPED));
   CHECK_TRUE(GangResult::Failed == Gang.End.Result);
-  STRCMP_EQUAL("n1", Gang.End.Blamed.str().c_str());
+  STRCMP_EQUAL("n1", Gang.End.FaultyWorker.str().c_str());
 }
 
 TEST(GangTracker, KeepsTheShortestProgressWhenEveryMemberHasACheckpoint) {
--- a/tests/http/HttpServerTest.cpp
+++ b/tests/http/HttpServerTest.cpp
@@ -28,7 +28,7 @@
     Server = std::move(*Served);
   }
 
-  Expected<HttpAnswer> send(
+  Expected<HttpClientResponse> send(
       const std::string &Body,
       const std::map<std::string, std::string> &Headers = {}) {
     HttpClient Client(Server->address());
--- a/tests/scheduler/SchedulerTest.cpp
+++ b/tests/scheduler/SchedulerTest.cpp
@@ -161,7 +161,7 @@
       startRunning(job("first", 1, 4, "a", Adjacency::SameWorker));
   JobScheduler->workerLost(First.Members[0].Worker, Now);
   endGang(First, GangResult::Lost, First.Members[0].Worker.str());
-  const auto Figures = JobScheduler->figures();
+  const auto Figures = JobScheduler->stats();
   LONGS_EQUAL(0, Figures.UnpackableCells);
 }
 
@@ -179,7 +179,7 @@
             Worker);
     Now += Milliseconds(1000);
   }
-  LONGS_EQUAL(1, JobScheduler->figures().Quarantined);
+  LONGS_EQUAL(1, JobScheduler->stats().Quarantined);
 }
 
 TEST(Scheduler, UsesAWorkerAgainAfterAGangSucceedsOnItInQuarantine) {
@@ -189,9 +189,9 @@
     const StartGang Bad = startRunning(job("bad" + std::to_string(N), 1, 1));
     endGang(Bad, GangResult::Failed, "w0");
   }
-  LONGS_EQUAL(1, JobScheduler->figures().Quarantined);
+  LONGS_EQUAL(1, JobScheduler->stats().Quarantined);
   endGang(LongRunning, GangResult::Succeeded);
-  LONGS_EQUAL(0, JobScheduler->figures().Quarantined);
+  LONGS_EQUAL(0, JobScheduler->stats().Quarantined);
   startRunning(job("next", 1, 8));
 }
 
@@ -213,7 +213,7 @@
   }
   LONGS_EQUAL(1, Ends.size());
   CHECK_TRUE(ResultCode::JobFailed == Ends[0].Code);
-  LONGS_EQUAL(0, JobScheduler->figures().Quarantined);
+  LONGS_EQUAL(0, JobScheduler->stats().Quarantined);
 }
 
 TEST(Scheduler, EndsAJobThatCanNeverRunButKeepsOneThatCannotRunNow) {
@@ -249,7 +249,7 @@
   for (int N = 0; N < 1000; ++N)
     JobScheduler->jobCancelled(JobId("q" + std::to_string(N)), Now);
   LONGS_EQUAL(1000, commandsOfType<EndJob>(JobScheduler->decide(Now)).size());
-  LONGS_EQUAL(0, JobScheduler->figures().Queued);
+  LONGS_EQUAL(0, JobScheduler->stats().Queued);
 }
 
 TEST(Scheduler, FirstFitStartsJobsInOrderOfArrivalAndSkipsThoseThatDoNotFit) {
@@ -326,8 +326,7 @@
           Used[Part.Worker.str()] += Part.Tasks * Infos[Id].AcceleratorsPerTask;
       for (const auto &[Worker, Count] : Used)
         CHECK_TEXT(Count <= WorkerSize, Name.c_str());
-      LONGS_EQUAL_TEXT(0, JobScheduler->figures().UnpackableCells,
-                       Name.c_str());
+      LONGS_EQUAL_TEXT(0, JobScheduler->stats().UnpackableCells, Name.c_str());
     }
   }
 }
--- a/tests/support/Deployment.cpp
+++ b/tests/support/Deployment.cpp
@@ -272,7 +272,7 @@
   Call.Method = Method;
   Call.Path = Path;
   Call.Body = Body;
-  Call.Patience = Milliseconds(TimeoutMs);
+  Call.Timeout = Milliseconds(TimeoutMs);
   if (!Token.empty())
     Call.Headers["Authorization"] = "Bearer " + Token;
   if (!Key.empty())
@@ -302,7 +302,7 @@
   Call.Path = std::string("/v1/services/") + Service + "/requests";
   Call.Body = Body;
   Call.ContentType = "text/plain";
-  Call.Patience = Milliseconds(DeadlineMs + 5000);
+  Call.Timeout = Milliseconds(DeadlineMs + 5000);
   Call.Headers["Authorization"] = "Bearer " + Token;
   Call.Headers["X-Idempotent"] = Idempotent ? "true" : "false";
   Call.Headers["X-Deadline-Ms"] = std::to_string(DeadlineMs);
