--- a/tests/support/FakeKv.h
+++ b/tests/support/FakeKv.h
@@ -17,11 +17,11 @@
   enum class Fault {
     None,
     /// Calls except revoke() fail with StoreUnavailable and have no effect.
-    Away,
+    Unavailable,
     /// Commits take effect, but fail with StoreAnswerLost.
     AnswerLost,
-    /// Commits fail with StoreAnswerLost and take effect in runLate().
-    Late,
+    /// Commits fail with StoreAnswerLost and take effect in applyDelayed().
+    Delayed,
   };
 
   void setFault(Fault Next) {
@@ -35,7 +35,7 @@
     CompactedRevision = Revision;
   }
   /// Applies the commits delayed by Fault::Late whose conditions hold.
-  void runLate() {
+  void applyDelayed() {
     const std::lock_guard<std::mutex> Lock(Mutex);
     for (const Transaction &Change : DelayedCommits)
       apply(Change);
@@ -59,9 +59,9 @@
   Expected<CommitResult> commit(const Transaction &Change) override {
     const std::lock_guard<std::mutex> Lock(Mutex);
     ++Commits;
-    if (ActiveFault == Fault::Away)
+    if (ActiveFault == Fault::Unavailable)
       return failure(ResultCode::StoreUnavailable, "the store is unavailable");
-    if (ActiveFault == Fault::Late) {
+    if (ActiveFault == Fault::Delayed) {
       DelayedCommits.push_back(Change);
       return failure(ResultCode::StoreAnswerLost, "the response was lost");
     }
@@ -73,7 +73,7 @@
 
   Expected<std::optional<StoreItem>> read(const std::string &Key) override {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    if (ActiveFault == Fault::Away)
+    if (ActiveFault == Fault::Unavailable)
       return failure(ResultCode::StoreUnavailable, "the store is unavailable");
     const auto Found = Items.find(Key);
     if (Found == Items.end())
@@ -83,7 +83,7 @@
 
   Expected<StoreChanges> list(const std::string &Prefix) override {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    if (ActiveFault == Fault::Away)
+    if (ActiveFault == Fault::Unavailable)
       return failure(ResultCode::StoreUnavailable, "the store is unavailable");
     StoreChanges Result;
     for (const auto &[Key, Item] : Items)
@@ -96,7 +96,7 @@
   Expected<StoreChanges> changes(const std::string &Prefix, std::int64_t After,
                                  Milliseconds) override {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    if (ActiveFault == Fault::Away)
+    if (ActiveFault == Fault::Unavailable)
       return failure(ResultCode::StoreUnavailable, "the store is unavailable");
     if (After < CompactedRevision)
       return failure(ResultCode::CompareFailed,
@@ -111,7 +111,7 @@
 
   Expected<std::int64_t> grant(Milliseconds) override {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    if (ActiveFault == Fault::Away)
+    if (ActiveFault == Fault::Unavailable)
       return failure(ResultCode::StoreUnavailable, "the store is unavailable");
     Leases[++LastLease];
     return LastLease;
@@ -119,7 +119,7 @@
 
   Expected<void> renew(std::int64_t Lease) override {
     const std::lock_guard<std::mutex> Lock(Mutex);
-    if (ActiveFault == Fault::Away)
+    if (ActiveFault == Fault::Unavailable)
       return failure(ResultCode::StoreUnavailable, "the store is unavailable");
     if (!Leases.count(Lease))
       return failure(ResultCode::CompareFailed, "the lease has expired");
--- a/tests/support/ComesTrue.h
+++ b/tests/support/WaitUntil.h
@@ -1,5 +1,5 @@
-#ifndef BAOBABCOVE_TESTS_SUPPORT_COMESTRUE_H
-#define BAOBABCOVE_TESTS_SUPPORT_COMESTRUE_H
+#ifndef BAOBABCOVE_TESTS_SUPPORT_WAITUNTIL_H
+#define BAOBABCOVE_TESTS_SUPPORT_WAITUNTIL_H
 
 #include "baobabcove/Clock.h"
 
@@ -9,7 +9,7 @@
 
 /// Polls \p Holds until it returns true. Returns false after 20 s, which is far
 /// longer than the threads of a test need.
-template <class Condition> bool comesTrue(Condition Holds) {
+template <class Condition> bool waitUntil(Condition Holds) {
   const Instant End = monotonicNow() + Milliseconds(20000);
   while (!Holds()) {
     if (monotonicNow() > End)
@@ -21,4 +21,4 @@
 
 } // namespace baobabcove
 
-#endif // BAOBABCOVE_TESTS_SUPPORT_COMESTRUE_H
+#endif // BAOBABCOVE_TESTS_SUPPORT_WAITUNTIL_H
--- a/tests/tasks/CoordinatorRoleTest.cpp
+++ b/tests/tasks/CoordinatorRoleTest.cpp
@@ -1,6 +1,6 @@
 #include "tasks/CoordinatorRole.h"
-#include "ComesTrue.h"
 #include "FakeKv.h"
+#include "WaitUntil.h"
 #include "tasks/StoreKeys.h"
 
 #include <thread>
@@ -19,7 +19,7 @@
   One.start();
   Two.start();
   One.noteRoleKey(false);
-  CHECK_TRUE(comesTrue([&] { return One.term().has_value(); }));
+  CHECK_TRUE(waitUntil([&] { return One.term().has_value(); }));
   CHECK_TRUE(One.isConfirmed());
   Two.noteRoleKey(false);
   std::this_thread::sleep_for(Milliseconds(50));
@@ -29,14 +29,14 @@
 TEST(CoordinatorRole, GoesToAnotherProcessWithAHigherEpochWhenReleased) {
   One.start();
   One.noteRoleKey(false);
-  CHECK_TRUE(comesTrue([&] { return One.term().has_value(); }));
+  CHECK_TRUE(waitUntil([&] { return One.term().has_value(); }));
   const Epoch First = One.term()->Number;
   One.stop();
   CHECK_FALSE(One.isConfirmed());
   STRCMP_EQUAL("", Kv.value(keys::Coordinator).c_str());
   Two.start();
   Two.noteRoleKey(false);
-  CHECK_TRUE(comesTrue([&] { return Two.term().has_value(); }));
+  CHECK_TRUE(waitUntil([&] { return Two.term().has_value(); }));
   CHECK_TRUE(First < Two.term()->Number);
 }
 
@@ -44,19 +44,19 @@
   Kv.setFault(FakeKv::Fault::AnswerLost);
   One.start();
   One.noteRoleKey(false);
-  CHECK_TRUE(comesTrue([&] { return One.term().has_value(); }));
+  CHECK_TRUE(waitUntil([&] { return One.term().has_value(); }));
 }
 
 TEST(CoordinatorRole, IsNotConfirmedOnceTheLeaseMayHaveExpired) {
   CoordinatorRole Short(Kv, "short 3:3", Milliseconds(400), [] {});
   Short.start();
   Short.noteRoleKey(false);
-  CHECK_TRUE(comesTrue([&] { return Short.term().has_value(); }));
-  Kv.setFault(FakeKv::Fault::Away);
-  CHECK_TRUE(comesTrue([&] { return !Short.isConfirmed(); }));
+  CHECK_TRUE(waitUntil([&] { return Short.term().has_value(); }));
+  Kv.setFault(FakeKv::Fault::Unavailable);
+  CHECK_TRUE(waitUntil([&] { return !Short.isConfirmed(); }));
   CHECK_TRUE(Short.term().has_value());
   Kv.setFault(FakeKv::Fault::None);
-  CHECK_TRUE(comesTrue([&] { return Short.isConfirmed(); }));
+  CHECK_TRUE(waitUntil([&] { return Short.isConfirmed(); }));
 }
 
 TEST(CoordinatorRole, IsLostWhenTheLeaseHasExpired) {
@@ -64,10 +64,10 @@
   CoordinatorRole Short(Kv, "short 3:3", Milliseconds(400), [&] { ++Changes; });
   Short.start();
   Short.noteRoleKey(false);
-  CHECK_TRUE(comesTrue([&] { return Short.term().has_value(); }));
+  CHECK_TRUE(waitUntil([&] { return Short.term().has_value(); }));
   const Epoch First = Short.term()->Number;
   Kv.expire(1);
-  CHECK_TRUE(comesTrue([&] {
+  CHECK_TRUE(waitUntil([&] {
     const auto Term = Short.term();
     return Term && First < Term->Number;
   }));
--- a/tests/tasks/JobCatalogTest.cpp
+++ b/tests/tasks/JobCatalogTest.cpp
@@ -1,6 +1,6 @@
 #include "tasks/JobCatalog.h"
-#include "ComesTrue.h"
 #include "FakeKv.h"
+#include "WaitUntil.h"
 #include "tasks/ConfigFollower.h"
 #include "tasks/StoreFollower.h"
 #include "tasks/StoreKeys.h"
@@ -56,13 +56,13 @@
       {[&](const StoreChanges &All) { Catalog.replaceAll(All); },
        [&](const StoreChanges &News) { Catalog.apply(News); }});
   Follower.start();
-  CHECK_TRUE(comesTrue([&] { return Catalog.size() == 1; }));
-  Kv.setFault(FakeKv::Fault::Away);
+  CHECK_TRUE(waitUntil([&] { return Catalog.size() == 1; }));
+  Kv.setFault(FakeKv::Fault::Unavailable);
   std::this_thread::sleep_for(Milliseconds(20));
   addJob("b");
   Kv.compact();
   Kv.setFault(FakeKv::Fault::None);
-  CHECK_TRUE(comesTrue([&] { return Catalog.size() == 2; }));
+  CHECK_TRUE(waitUntil([&] { return Catalog.size() == 2; }));
 }
 
 TEST(JobCatalog, NeverReturnsToAnOlderConfiguration) {
@@ -74,10 +74,10 @@
                                });
   Kv.put("op/config", "7");
   Configuration.start();
-  CHECK_TRUE(comesTrue([&] { return Configuration.current() != nullptr; }));
+  CHECK_TRUE(waitUntil([&] { return Configuration.current() != nullptr; }));
   Kv.put("op/config", "5");
   Kv.put("op/config", "9");
-  CHECK_TRUE(comesTrue([&] {
+  CHECK_TRUE(waitUntil([&] {
     CHECK(Configuration.current()->Version != 5);
     return Configuration.current()->Version == 9;
   }));
--- a/tests/tasks/JobIntakeTest.cpp
+++ b/tests/tasks/JobIntakeTest.cpp
@@ -55,11 +55,11 @@
 }
 
 TEST(JobIntake, ReportsAnUnknownOutcomeForADelayedWrite) {
-  Kv.setFault(FakeKv::Fault::Late);
+  Kv.setFault(FakeKv::Fault::Delayed);
   const auto Unknown = Intake.accept(spec());
   CHECK(ResultCode::StoreAnswerLost == Unknown.error().Code);
   Kv.setFault(FakeKv::Fault::None);
-  Kv.runLate();
+  Kv.applyDelayed();
   CHECK_TRUE(Intake.accept(spec()).has_value());
 }
 
@@ -72,7 +72,7 @@
 }
 
 TEST(JobIntake, FailsStatusWithStoreUnavailableDuringAnOutage) {
-  Kv.setFault(FakeKv::Fault::Away);
+  Kv.setFault(FakeKv::Fault::Unavailable);
   CHECK(ResultCode::StoreUnavailable == Intake.status(Id).error().Code);
 }
 
@@ -93,6 +93,6 @@
 
 TEST(JobIntake, DoesNotAcknowledgeACancelThatIsNotStored) {
   CHECK_TRUE(Intake.accept(spec()).has_value());
-  Kv.setFault(FakeKv::Fault::Late);
+  Kv.setFault(FakeKv::Fault::Delayed);
   CHECK(ResultCode::StoreAnswerLost == Intake.cancel(Id).error().Code);
 }
--- a/tests/tasks/ProgressWriterTest.cpp
+++ b/tests/tasks/ProgressWriterTest.cpp
@@ -47,7 +47,7 @@
 
 TEST(ProgressWriter, KeepsJobsDirtyWhileTheStoreIsUnavailable) {
   addJobs(1);
-  Kv.setFault(FakeKv::Fault::Away);
+  Kv.setFault(FakeKv::Fault::Unavailable);
   CHECK(WriteOutcome::Retry == Writer.write(Term, Jobs, Dirty));
   LONGS_EQUAL(1, Dirty.size());
 }
@@ -67,13 +67,13 @@
 TEST(ProgressWriter, IsNotOverwrittenByADelayedWrite) {
   addJobs(1);
   changeAll();
-  Kv.setFault(FakeKv::Fault::Late);
+  Kv.setFault(FakeKv::Fault::Delayed);
   CHECK(WriteOutcome::Retry == Writer.write(Term, Jobs, Dirty));
   Kv.setFault(FakeKv::Fault::None);
   changeAll();
   CHECK(WriteOutcome::Written == Writer.write(Term, Jobs, Dirty));
   const std::string Newest = Kv.value(keys::progress(JobId("job0")));
-  Kv.runLate();
+  Kv.applyDelayed();
   CHECK(Newest == Kv.value(keys::progress(JobId("job0"))));
 }
 
--- a/tests/tasks/TaskAgentTest.cpp
+++ b/tests/tasks/TaskAgentTest.cpp
@@ -1,6 +1,6 @@
 #include "tasks/TaskAgent.h"
-#include "ComesTrue.h"
 #include "FakeKv.h"
+#include "WaitUntil.h"
 #include "tasks/StoreKeys.h"
 
 #include <thread>
@@ -144,30 +144,30 @@
 };
 
 TEST(TaskAgent, ReportsItsWorkerAfterTheFirstListing) {
-  CHECK_TRUE(comesTrue([&] { return last().complete(); }));
+  CHECK_TRUE(waitUntil([&] { return last().complete(); }));
   STRCMP_EQUAL("n1/i-1#7", last().worker().c_str());
   LONGS_EQUAL(8, last().accelerators());
 }
 
 TEST(TaskAgent, StartsAnOrderedRunOnceAndReportsIt) {
   order(1);
-  CHECK_TRUE(comesTrue([&] { return last().running_size() == 1; }));
+  CHECK_TRUE(waitUntil([&] { return last().running_size() == 1; }));
   LONGS_EQUAL(1, Worker.Starts);
-  CHECK_TRUE(comesTrue([&] { return Worker.Deadline.count() > 1000; }));
+  CHECK_TRUE(waitUntil([&] { return Worker.Deadline.count() > 1000; }));
 }
 
 TEST(TaskAgent, AcknowledgesAnEndOnlyWhenTheCoordinatorSaysSo) {
   order(1);
-  CHECK_TRUE(comesTrue([&] { return last().running_size() == 1; }));
+  CHECK_TRUE(waitUntil([&] { return last().running_size() == 1; }));
   Worker.end("j.0.0.0", wire::RUN_DONE);
-  CHECK_TRUE(comesTrue([&] { return last().ends_size() == 1; }));
+  CHECK_TRUE(waitUntil([&] { return last().ends_size() == 1; }));
   LONGS_EQUAL(0, Worker.Acknowledged);
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
     Orders.set_revision(2);
     Orders.set_acknowledged_end(1);
   }
-  CHECK_TRUE(comesTrue([&] {
+  CHECK_TRUE(waitUntil([&] {
     const std::lock_guard<std::mutex> Lock(Worker.Mutex);
     return Worker.Acknowledged == 1;
   }));
@@ -176,35 +176,35 @@
 TEST(TaskAgent, BarsAnUnansweredStartBeforeReportingTheRefusal) {
   Worker.LosesStarts = true;
   order(1);
-  CHECK_TRUE(comesTrue([&] { return last().refusals_size() == 1; }));
+  CHECK_TRUE(waitUntil([&] { return last().refusals_size() == 1; }));
   LONGS_EQUAL(wire::REFUSED_BARRED, last().refusals(0).reason());
   LONGS_EQUAL(1, Worker.Barred.count({"j.0.0.0", 1}));
 }
 
 TEST(TaskAgent, IgnoresOrdersOfAnEarlierEpoch) {
-  CHECK_TRUE(comesTrue([&] { return last().complete(); }));
+  CHECK_TRUE(waitUntil([&] { return last().complete(); }));
   {
     const std::lock_guard<std::mutex> Lock(Mutex);
     Orders.set_epoch(4);
   }
   order(9);
   const std::uint64_t Sequence = last().sequence();
-  CHECK_TRUE(comesTrue([&] { return last().sequence() > Sequence + 3; }));
+  CHECK_TRUE(waitUntil([&] { return last().sequence() > Sequence + 3; }));
   LONGS_EQUAL(0, Worker.Starts);
 }
 
 TEST(TaskAgent, IgnoresADelayedHeartbeatOfAnEarlierIncarnation) {
-  CHECK_TRUE(comesTrue([&] { return last().complete(); }));
+  CHECK_TRUE(waitUntil([&] { return last().complete(); }));
   Agent->onHeartbeat(heartbeat(6, 99));
   const std::uint64_t Sequence = last().sequence();
-  CHECK_TRUE(comesTrue([&] { return last().sequence() > Sequence + 3; }));
+  CHECK_TRUE(waitUntil([&] { return last().sequence() > Sequence + 3; }));
   STRCMP_EQUAL("n1/i-1#7", last().worker().c_str());
 }
 
 TEST(TaskAgent, ReportsADepartedWorkerAsAnIncarnationWithoutRuns) {
-  CHECK_TRUE(comesTrue([&] { return last().complete(); }));
+  CHECK_TRUE(waitUntil([&] { return last().complete(); }));
   Agent->onWorkerLeft("i-1");
-  CHECK_TRUE(comesTrue(
+  CHECK_TRUE(waitUntil(
       [&] { return last().worker() == "n1/none#1" && last().complete(); }));
   CHECK_TRUE(last().draining());
 }
